--- a/core/src/main/java/org/wingstall/core/admit/Admissions.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmissionPolicies.java
@@ -5,12 +5,12 @@
 /**
  * Makes the admission that the settings name.
  *
- * <p>{@code Admission admission = Admissions.of(settings.getPolicy());}
+ * <p>{@code AdmissionPolicy admission = AdmissionPolicies.of(settings.getPolicy());}
  *
  * @since 0.1
  */
-public final class Admissions {
-    private Admissions() {}
+public final class AdmissionPolicies {
+    private AdmissionPolicies() {}
 
     /**
      * Returns an admission.
@@ -18,7 +18,7 @@
      * @param policy settings of the policy
      * @return the admission
      */
-    public static Admission of(Policy policy) {
+    public static AdmissionPolicy of(Policy policy) {
         return switch (policy.getAdmission()) {
             case ALL -> new AdmitAll();
             case DEADLINE -> new DeadlineAdmission();
--- a/core/src/main/java/org/wingstall/core/admit/Admission.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmissionPolicy.java
@@ -7,7 +7,7 @@
  *
  * @since 0.1
  */
-public interface Admission {
+public interface AdmissionPolicy {
     /**
      * Decides on a request.
      *
@@ -16,5 +16,5 @@
      * @param waitMs estimated wait for the first of them, in ms
      * @return whether it can land
      */
-    boolean canLand(double remainingMs, double stagesLeftMs, double waitMs);
+    boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs);
 }
--- a/core/src/main/java/org/wingstall/core/admit/AdmitAll.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmitAll.java
@@ -1,9 +1,9 @@
 package org.wingstall.core.admit;
 
 /** Takes in every request; a baseline. */
-final class AdmitAll implements Admission {
+final class AdmitAll implements AdmissionPolicy {
     @Override
-    public boolean canLand(double remainingMs, double stagesLeftMs, double waitMs) {
+    public boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs) {
         return true;
     }
 }
--- a/core/src/main/java/org/wingstall/core/admit/DeadlineAdmission.java
+++ b/core/src/main/java/org/wingstall/core/admit/DeadlineAdmission.java
@@ -1,9 +1,9 @@
 package org.wingstall.core.admit;
 
 /** Takes in a request whose stages and wait fit into the time left. */
-final class DeadlineAdmission implements Admission {
+final class DeadlineAdmission implements AdmissionPolicy {
     @Override
-    public boolean canLand(double remainingMs, double stagesLeftMs, double waitMs) {
+    public boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs) {
         return stagesLeftMs + waitMs <= remainingMs;
     }
 }
--- a/core/src/main/java/org/wingstall/core/admit/StageTimes.java
+++ b/core/src/main/java/org/wingstall/core/admit/StageTimes.java
@@ -12,9 +12,9 @@
  */
 public final class StageTimes {
     private static final int BUCKETS = 72;
-    private static final double GROWTH = 1.2;
-    private static final long FULL = 1024;
-    private static final int LEAST_SAMPLES = 8;
+    private static final double BUCKET_GROWTH = 1.2;
+    private static final long HALVE_AT_SAMPLES = 1024;
+    private static final int MIN_SAMPLES = 8;
 
     private final AtomicLongArray counts = new AtomicLongArray(BUCKETS);
     private final AtomicLong total = new AtomicLong();
@@ -36,7 +36,7 @@
      */
     public void record(double ms) {
         counts.incrementAndGet(bucketOf(ms));
-        if (total.incrementAndGet() >= FULL) {
+        if (total.incrementAndGet() >= HALVE_AT_SAMPLES) {
             halve();
         }
     }
@@ -48,8 +48,8 @@
      * @return upper bound of the bucket that holds it, in ms
      */
     public double quantileMs(double quantile) {
-        long samples = sum();
-        if (samples < LEAST_SAMPLES) {
+        long samples = sampleCount();
+        if (samples < MIN_SAMPLES) {
             return expectedMs;
         }
         double wanted = samples * quantile;
@@ -57,18 +57,18 @@
         for (int i = 0; i < BUCKETS; i++) {
             seen += counts.get(i);
             if (seen >= wanted) {
-                return Math.pow(GROWTH, i);
+                return Math.pow(BUCKET_GROWTH, i);
             }
         }
-        return Math.pow(GROWTH, BUCKETS);
+        return Math.pow(BUCKET_GROWTH, BUCKETS);
     }
 
     /** Returns whether there are enough samples to go by. */
-    public boolean measured() {
-        return sum() >= LEAST_SAMPLES;
+    public boolean hasEnoughSamples() {
+        return sampleCount() >= MIN_SAMPLES;
     }
 
-    private long sum() {
+    private long sampleCount() {
         long sum = 0;
         for (int i = 0; i < BUCKETS; i++) {
             sum += counts.get(i);
@@ -88,7 +88,7 @@
         if (ms <= 1) {
             return 0;
         }
-        int bucket = (int) Math.ceil(Math.log(ms) / Math.log(GROWTH));
+        int bucket = (int) Math.ceil(Math.log(ms) / Math.log(BUCKET_GROWTH));
         return Math.min(BUCKETS - 1, bucket);
     }
 }
--- a/core/src/main/java/org/wingstall/core/answer/RetryAfter.java
+++ b/core/src/main/java/org/wingstall/core/answer/RetryAfter.java
@@ -10,8 +10,8 @@
  * @since 0.1
  */
 public final class RetryAfter {
-    private static final long LEAST_MS = 50;
-    private static final long MOST_MS = 30_000;
+    private static final long MIN_MS = 50;
+    private static final long MAX_MS = 30_000;
 
     private final DoubleSupplier random;
 
@@ -30,8 +30,8 @@
      * @param expectedWaitMs time until there is likely room, in ms
      * @return the hint, in ms
      */
-    public long spreadMs(long expectedWaitMs) {
-        long base = Math.max(LEAST_MS, Math.min(MOST_MS, expectedWaitMs));
+    public long jitteredMs(long expectedWaitMs) {
+        long base = Math.max(MIN_MS, Math.min(MAX_MS, expectedWaitMs));
         return base + (long) (base * random.getAsDouble());
     }
 }
--- a/core/src/main/java/org/wingstall/core/claim/ClaimDecision.java
+++ b/core/src/main/java/org/wingstall/core/claim/ClaimDecision.java
@@ -37,7 +37,7 @@
      *
      * @param leftMs time left of that attempt's deadline, in ms; negative when it has passed
      */
-    record Held(long leftMs) implements ClaimDecision {}
+    record Held(long remainingMs) implements ClaimDecision {}
 
     /** The key belongs to another body. */
     record KeyReused() implements ClaimDecision {}
--- a/core/src/main/java/org/wingstall/core/config/ConfigRows.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigRowValidator.java
@@ -17,12 +17,12 @@
 /**
  * Checks configuration rows, each against its schema and against its key.
  *
- * <p>{@code PipelineRow row = (PipelineRow) ConfigRows.read(ConfigKey.parse("pipeline/menu-plan"), tree);}
+ * <p>{@code PipelineRow row = (PipelineRow) ConfigRowValidator.read(ConfigKey.parse("pipeline/menu-plan"), tree);}
  *
  * @since 0.1
  */
-public final class ConfigRows {
-    private ConfigRows() {}
+public final class ConfigRowValidator {
+    private ConfigRowValidator() {}
 
     /**
      * Checks a row.
@@ -32,7 +32,7 @@
      * @return the row, of the class that belongs to the key's kind
      * @throws InvalidRowException if the row is not valid
      */
-    public static Object read(ConfigKey key, JsonNode value) throws InvalidRowException {
+    public static Object validate(ConfigKey key, JsonNode value) throws InvalidRowException {
         try {
             return switch (key.kind()) {
                 case PIPELINE ->
@@ -54,13 +54,13 @@
      * @param rows every row by its key; null values are passed over
      * @throws InvalidRowException if two rows contradict each other
      */
-    public static void checkAcross(Map<String, JsonNode> rows) throws InvalidRowException {
+    public static void validateConsistency(Map<String, JsonNode> rows) throws InvalidRowException {
         Map<String, StageRow> byService = new HashMap<>();
         for (Map.Entry<String, JsonNode> entry : new TreeMap<>(rows).entrySet()) {
             ConfigKey key = ConfigKey.parse(entry.getKey());
             boolean present = entry.getValue() != null && !entry.getValue().isNull();
             if (key.kind() == ConfigKey.Kind.PIPELINE && present) {
-                checkServices(key, (PipelineRow) read(key, entry.getValue()), byService);
+                checkServices(key, (PipelineRow) validate(key, entry.getValue()), byService);
             }
         }
     }
--- a/core/src/main/java/org/wingstall/core/config/ConfigSnapshot.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigSnapshot.java
@@ -98,13 +98,14 @@
      * @param rejected told of each row that was left as it was
      * @return the new configuration
      */
-    public ConfigSnapshot with(long newRevision, List<ConfigCell> changed, RejectedRows rejected) {
+    public ConfigSnapshot withChanges(
+            long newRevision, List<ConfigCell> changed, RejectedRowListener rejectedRowListener) {
         Builder builder = new Builder(this, newRevision);
         for (ConfigCell cell : changed) {
             try {
                 builder.put(cell);
             } catch (InvalidRowException e) {
-                rejected.rejected(e);
+                rejectedRowListener.onRejected(e);
             }
         }
         return builder.build();
@@ -112,9 +113,9 @@
 
     /** Told of rows that a gateway left as they were. */
     @FunctionalInterface
-    public interface RejectedRows {
+    public interface RejectedRowListener {
         /** Takes the failure of one row. */
-        void rejected(InvalidRowException failure);
+        void onRejected(InvalidRowException failure);
     }
 
     private static final class Builder {
@@ -137,8 +138,8 @@
         void put(ConfigCell cell) throws InvalidRowException {
             ConfigKey key = ConfigKey.parse(cell.getKey());
             boolean removed = cell.getValue() == null || cell.getValue().isNull();
-            Object row = removed ? null : ConfigRows.read(key, cell.getValue());
-            place(key, row);
+            Object row = removed ? null : ConfigRowValidator.validate(key, cell.getValue());
+            putRow(key, row);
             if (removed) {
                 cells.remove(cell.getKey());
             } else {
@@ -146,7 +147,7 @@
             }
         }
 
-        private void place(ConfigKey key, Object row) {
+        private void putRow(ConfigKey key, Object row) {
             switch (key.kind()) {
                 case PIPELINE -> replace(pipelines, key.name(), (PipelineRow) row);
                 case WORKSPACE -> replace(workspaces, key.name(), (WorkspaceRow) row);
--- a/core/src/main/java/org/wingstall/core/config/ConfigStore.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigStore.java
@@ -15,20 +15,20 @@
  * @since 0.1
  */
 public final class ConfigStore {
-    private static final int REMEMBERED_CHANGES = 512;
+    private static final int MAX_RETAINED_CHANGES = 512;
 
     private final AtomicReference<State> state = new AtomicReference<>(new State(ConfigSnapshot.EMPTY, List.of()));
-    private final ConfigSnapshot.RejectedRows rejected;
+    private final ConfigSnapshot.RejectedRowListener rejectedRowListener;
 
-    private record State(ConfigSnapshot snapshot, List<ConfigChange> recent) {}
+    private record State(ConfigSnapshot snapshot, List<ConfigChange> recentChanges) {}
 
     /**
      * Creates a store with no configuration.
      *
      * @param rejected told of rows that are not valid and were left as they were
      */
-    public ConfigStore(ConfigSnapshot.RejectedRows rejected) {
-        this.rejected = rejected;
+    public ConfigStore(ConfigSnapshot.RejectedRowListener rejectedRowListener) {
+        this.rejectedRowListener = rejectedRowListener;
     }
 
     /** Returns the configuration in force. */
@@ -67,7 +67,7 @@
         if (revision <= current().revision()) {
             return false;
         }
-        state.set(new State(ConfigSnapshot.EMPTY.with(revision, cells, rejected), List.of()));
+        state.set(new State(ConfigSnapshot.EMPTY.withChanges(revision, cells, rejectedRowListener), List.of()));
         return true;
     }
 
@@ -78,13 +78,14 @@
      * @return the changed rows, or empty when only the whole configuration will do
      */
     public Optional<List<ConfigCell>> cellsAfter(long revision) {
-        State now = state.get();
-        long remembered = now.snapshot().revision() - now.recent().size();
-        if (revision < remembered) {
+        State current = state.get();
+        long oldestRetained =
+                current.snapshot().revision() - current.recentChanges().size();
+        if (revision < oldestRetained) {
             return Optional.empty();
         }
         List<ConfigCell> cells = new ArrayList<>();
-        for (ConfigChange change : now.recent()) {
+        for (ConfigChange change : current.recentChanges()) {
             if (change.getRevision() > revision) {
                 cells.addAll(change.getChanges());
             }
@@ -105,17 +106,19 @@
         if (now.revision() != fromRevision || toRevision <= fromRevision) {
             return false;
         }
-        state.set(new State(now.with(toRevision, cells, rejected), List.of()));
+        state.set(new State(now.withChanges(toRevision, cells, rejectedRowListener), List.of()));
         return true;
     }
 
     private void apply(ConfigChange change) {
-        State now = state.get();
-        ConfigSnapshot next = now.snapshot().with(change.getRevision(), change.getChanges(), rejected);
-        List<ConfigChange> recent = new ArrayList<>(now.recent());
-        recent.add(change);
-        int surplus = recent.size() - REMEMBERED_CHANGES;
-        List<ConfigChange> kept = surplus > 0 ? recent.subList(surplus, recent.size()) : recent;
-        state.set(new State(next, List.copyOf(kept)));
+        State current = state.get();
+        ConfigSnapshot next =
+                current.snapshot().withChanges(change.getRevision(), change.getChanges(), rejectedRowListener);
+        List<ConfigChange> recentChanges = new ArrayList<>(current.recentChanges());
+        recentChanges.add(change);
+        int surplus = recentChanges.size() - MAX_RETAINED_CHANGES;
+        List<ConfigChange> retained =
+                surplus > 0 ? recentChanges.subList(surplus, recentChanges.size()) : recentChanges;
+        state.set(new State(next, List.copyOf(retained)));
     }
 }
--- a/core/src/main/java/org/wingstall/core/engine/OrderPlan.java
+++ b/core/src/main/java/org/wingstall/core/engine/EngineOrderPlanner.java
@@ -19,9 +19,9 @@
  *
  * @since 0.1
  */
-public final class OrderPlan {
-    private final int asksAtOnce;
-    private final long calmMs;
+public final class EngineOrderPlanner {
+    private final int maxRefreshQueries;
+    private final long refreshIntervalMs;
 
     /**
      * Creates a plan.
@@ -29,9 +29,9 @@
      * @param asksAtOnce most engines asked at once that have what is wanted
      * @param calmMs time after which such an engine is asked again, in ms
      */
-    public OrderPlan(int asksAtOnce, long calmMs) {
-        this.asksAtOnce = asksAtOnce;
-        this.calmMs = calmMs;
+    public EngineOrderPlanner(int asksAtOnce, long calmMs) {
+        this.maxRefreshQueries = asksAtOnce;
+        this.refreshIntervalMs = calmMs;
     }
 
     /** Returns what a row wants. */
@@ -52,11 +52,12 @@
      * @param inFlight calls in flight at an engine
      * @return engines, in the order in which they get it
      */
-    public List<EngineView> toOrder(EngineRow row, Collection<EngineView> views, ToIntFunction<EngineView> inFlight) {
+    public List<EngineView> enginesToOrder(
+            EngineRow row, Collection<EngineView> views, ToIntFunction<EngineView> inFlight) {
         EngineTarget target = target(row);
-        long loading = views.stream().filter(EngineView::maybeLoading).count();
+        long loading = views.stream().filter(EngineView::mayBeLoading).count();
         return views.stream()
-                .filter(view -> view.state() != null && !view.maybeLoading() && !view.reached(target))
+                .filter(view -> view.state() != null && !view.mayBeLoading() && !view.hasReached(target))
                 .sorted(Comparator.comparingInt(inFlight).thenComparing(EngineView::memberId))
                 .limit(Math.max(0, row.getAtOnce() - loading))
                 .toList();
@@ -70,19 +71,19 @@
      * @param nowMs time of the monotonic clock, in ms
      * @return engines
      */
-    public List<EngineView> toAsk(EngineRow row, Collection<EngineView> views, long nowMs) {
+    public List<EngineView> enginesToQuery(EngineRow row, Collection<EngineView> views, long nowMs) {
         EngineTarget target = target(row);
-        List<EngineView> asked = new ArrayList<>();
-        List<EngineView> calm = new ArrayList<>();
+        List<EngineView> queried = new ArrayList<>();
+        List<EngineView> dueForRefresh = new ArrayList<>();
         for (EngineView view : views) {
-            if (view.maybeLoading() || view.state() == null) {
-                asked.add(view);
-            } else if (view.reached(target) && nowMs - view.heardAtMs() >= calmMs) {
-                calm.add(view);
+            if (view.mayBeLoading() || view.state() == null) {
+                queried.add(view);
+            } else if (view.hasReached(target) && nowMs - view.answeredAtMs() >= refreshIntervalMs) {
+                dueForRefresh.add(view);
             }
         }
-        calm.sort(Comparator.comparingLong(EngineView::heardAtMs));
-        asked.addAll(calm.subList(0, Math.min(asksAtOnce, calm.size())));
-        return asked;
+        dueForRefresh.sort(Comparator.comparingLong(EngineView::answeredAtMs));
+        queried.addAll(dueForRefresh.subList(0, Math.min(maxRefreshQueries, dueForRefresh.size())));
+        return queried;
     }
 }
--- a/core/src/main/java/org/wingstall/core/engine/EngineView.java
+++ b/core/src/main/java/org/wingstall/core/engine/EngineView.java
@@ -15,7 +15,7 @@
  * @param orderedAtMs when an order was last sent there, in ms of the monotonic clock
  * @since 0.1
  */
-public record EngineView(String memberId, long incarnation, EngineState state, long heardAtMs, long orderedAtMs) {
+public record EngineView(String memberId, long incarnation, EngineState state, long answeredAtMs, long orderedAtMs) {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     /** Returns the view of an engine that has not answered yet. */
@@ -31,7 +31,7 @@
      * @param nowMs time of the monotonic clock, in ms
      * @return the view
      */
-    public EngineView heard(EngineState newState, long sentAtMs, long nowMs) {
+    public EngineView withState(EngineState newState, long sentAtMs, long nowMs) {
         if (sentAtMs < orderedAtMs) {
             return this;
         }
@@ -39,17 +39,17 @@
     }
 
     /** Returns this view after an order was sent. */
-    public EngineView ordered(long nowMs) {
-        return new EngineView(memberId, incarnation, state, heardAtMs, nowMs);
+    public EngineView withOrderSent(long nowMs) {
+        return new EngineView(memberId, incarnation, state, answeredAtMs, nowMs);
     }
 
     /** Returns whether the engine has what is wanted. */
-    public boolean reached(EngineTarget target) {
+    public boolean hasReached(EngineTarget target) {
         return state != null && !state.isLoading() && target.equals(state.getLoaded());
     }
 
     /** Returns whether the engine may be busy with an order: it says so, or one was sent after it last spoke. */
-    public boolean maybeLoading() {
-        return state != null && state.isLoading() || orderedAtMs > heardAtMs;
+    public boolean mayBeLoading() {
+        return state != null && state.isLoading() || orderedAtMs > answeredAtMs;
     }
 }
--- a/core/src/main/java/org/wingstall/core/lease/LeaseCandidate.java
+++ b/core/src/main/java/org/wingstall/core/lease/LeaseCandidate.java
@@ -8,7 +8,7 @@
  *
  * <p>No wall clock is compared with another box's. The holder counts its time from before it sent the write; every other
  * box counts from when it first saw the row as it stands, and adds a guard. So the holder's time is over before another
- * box begins to write, unless the holder is paused between looking at {@link #leftMs()} and acting: that is what the token
+ * box begins to write, unless the holder is paused between looking at {@link #remainingMs()} and acting: that is what the token
  * is for.
  *
  * <p>{@code LeaseStep step = candidate.next(version, row); ... candidate.written(write, sentAtMs);}
@@ -16,18 +16,18 @@
  * @since 0.1
  */
 public final class LeaseCandidate {
-    private static final String NOBODY = "";
+    private static final String NO_HOLDER = "";
 
     private final String self;
     private final long durationMs;
     private final long guardMs;
     private final MonotonicClock clock;
-    private long seenVersion = -1;
-    private long seenSinceMs;
-    private volatile Held held = Held.NOT;
+    private long lastSeenVersion = -1;
+    private long firstSeenAtMs;
+    private volatile Held held = Held.NONE;
 
     private record Held(long token, long untilMs) {
-        static final Held NOT = new Held(0, Long.MIN_VALUE);
+        static final Held NONE = new Held(0, Long.MIN_VALUE);
     }
 
     /**
@@ -52,22 +52,22 @@
      * @param row the row, or null when it is absent
      * @return what to do
      */
-    public LeaseStep next(long version, LeaseRow row) {
+    public LeaseStep nextStep(long version, LeaseRow row) {
         long nowMs = clock.nowMs();
-        if (version != seenVersion) {
-            seenVersion = version;
-            seenSinceMs = nowMs;
+        if (version != lastSeenVersion) {
+            lastSeenVersion = version;
+            firstSeenAtMs = nowMs;
         }
         if (row == null) {
-            return new LeaseStep.Write(0, mine(1));
+            return new LeaseStep.Write(0, ownRow(1));
         }
         if (row.getHolder().equals(self)) {
-            return new LeaseStep.Write(version, mine(row.getToken()));
+            return new LeaseStep.Write(version, ownRow(row.getToken()));
         }
-        drop();
-        long leftMs = seenSinceMs + row.getDurationMs() + guardMs - nowMs;
-        boolean free = row.getHolder().equals(NOBODY) || leftMs <= 0;
-        return free ? new LeaseStep.Write(version, mine(row.getToken() + 1)) : new LeaseStep.Wait(leftMs);
+        invalidate();
+        long waitMs = firstSeenAtMs + row.getDurationMs() + guardMs - nowMs;
+        boolean free = row.getHolder().equals(NO_HOLDER) || waitMs <= 0;
+        return free ? new LeaseStep.Write(version, ownRow(row.getToken() + 1)) : new LeaseStep.Wait(waitMs);
     }
 
     /**
@@ -76,18 +76,18 @@
      * @param write the write
      * @param sentAtMs when it was sent, in ms of the monotonic clock
      */
-    public void written(LeaseStep.Write write, long sentAtMs) {
+    public void recordWritten(LeaseStep.Write write, long sentAtMs) {
         held = new Held(write.row().getToken(), sentAtMs + durationMs);
     }
 
     /** Records that the lease is lost or must not be used. */
-    public void drop() {
-        held = Held.NOT;
+    public void invalidate() {
+        held = Held.NONE;
     }
 
     /** Returns the row that gives the lease back, for a box that holds it. */
-    public LeaseRow released() {
-        return new LeaseRow(NOBODY, held.token(), durationMs);
+    public LeaseRow releasedRow() {
+        return new LeaseRow(NO_HOLDER, held.token(), durationMs);
     }
 
     /** Returns the token; 0 when the lease is not held or its time is over. */
@@ -97,12 +97,12 @@
     }
 
     /** Returns the time left, in ms; 0 when the lease is not held. */
-    public long leftMs() {
+    public long remainingMs() {
         Held now = held;
         return now.token() == 0 ? 0 : Math.max(0, now.untilMs() - clock.nowMs());
     }
 
-    private LeaseRow mine(long token) {
+    private LeaseRow ownRow(long token) {
         return new LeaseRow(self, token, durationMs);
     }
 }
--- a/core/src/main/java/org/wingstall/core/limit/StatedLimits.java
+++ b/core/src/main/java/org/wingstall/core/limit/AdvertisedLimits.java
@@ -20,7 +20,7 @@
  *
  * @since 0.9
  */
-public final class StatedLimits {
+public final class AdvertisedLimits {
     /** Rate of an endpoint whose first statement can't be read: it is in need, and nobody knows how much. */
     private static final double UNREADABLE_RATE = 1;
 
@@ -28,25 +28,25 @@
     private static final double CLEARED = -1;
 
     /** Time without a lower rate after which a higher one holds, and without any after which none does, in ms. */
-    private static final long RAISE_AFTER_MS = 1000;
+    private static final long RAISE_DELAY_MS = 1000;
 
     /** Pause after which a rate that holds on is told again, in ms. */
-    private static final long TELL_AGAIN_MS = 10_000;
+    private static final long REBROADCAST_INTERVAL_MS = 10_000;
 
     /** Time after which a rate that nobody stated again is taken for cleared, in ms. */
-    private static final long STALE_MS = 30_000;
+    private static final long STALE_AFTER_MS = 30_000;
 
     /** Time in which the rate doubles once an endpoint states none any more, in ms. */
-    private static final double DOUBLING_MS = 1000;
+    private static final double RAMP_DOUBLING_MS = 1000;
 
     /** Time after which nothing is bounded once an endpoint states no rate any more, in ms. */
     private static final long RAMP_MS = 6000;
 
     /** Least rate from which an endpoint's requests grow again. */
-    private static final double LEAST_RAMP_RATE = 1;
+    private static final double MIN_RAMP_RATE = 1;
 
     /** Time for which what is known of an endpoint that no list has is kept, in ms. */
-    private static final long UNLISTED_MS = 60_000;
+    private static final long UNLISTED_RETENTION_MS = 60_000;
 
     private final String boxId;
     private final MonotonicClock clock;
@@ -61,7 +61,7 @@
          * @param news what they have to know
          * @param exceptBox box that it was heard from; null for none
          */
-        void tell(LimitNews news, String exceptBox);
+        void broadcast(LimitNews news, String exceptBox);
 
         /** An endpoint's limit is another one from now on. */
         void changed(Limit limit);
@@ -75,17 +75,17 @@
      * @param sinceMs time since it has held, in ms
      * @param box box that got the answer
      */
-    public record Limit(String endpoint, double requestsPerSecond, long sinceMs, String box) {}
+    public record Limit(String endpoint, double requestsPerSecond, long ageMs, String box) {}
 
     private static final class Entry {
         private LimitNews news;
-        private double rampFrom;
+        private double rampStartRate;
         private long changedMs;
-        private long statedMs;
-        private long lowestMs;
-        private long toldMs;
+        private long advertisedMs;
+        private long notHigherMs;
+        private long broadcastMs;
 
-        private boolean limited() {
+        private boolean isLimited() {
             return news.getRequestsPerSecond() >= 0;
         }
     }
@@ -97,7 +97,7 @@
      * @param clock monotonic clock
      * @param listener takes what changes
      */
-    public StatedLimits(String boxId, MonotonicClock clock, Listener listener) {
+    public AdvertisedLimits(String boxId, MonotonicClock clock, Listener listener) {
         this.boxId = boxId;
         this.clock = clock;
         this.listener = listener;
@@ -109,10 +109,10 @@
     }
 
     /** Returns the limits that hold. */
-    public List<Limit> all() {
+    public List<Limit> activeLimits() {
         List<Limit> limits = new ArrayList<>();
         entries.forEach((endpoint, entry) -> {
-            if (entry.limited()) {
+            if (entry.isLimited()) {
                 limits.add(limit(endpoint, entry));
             }
         });
@@ -120,9 +120,9 @@
     }
 
     /** Returns whether an endpoint states a limit. */
-    public boolean limited(String endpoint) {
+    public boolean isLimited(String endpoint) {
         Entry entry = entries.get(endpoint);
-        return entry != null && entry.limited() && !clearedByAge(entry);
+        return entry != null && entry.isLimited() && !isStale(entry);
     }
 
     /** Returns the requests a second that all boxes may send to an endpoint now; empty when they are not bounded. */
@@ -131,13 +131,14 @@
         if (entry == null) {
             return OptionalDouble.empty();
         }
-        if (entry.limited() && !clearedByAge(entry)) {
+        if (entry.isLimited() && !isStale(entry)) {
             return OptionalDouble.of(entry.news.getRequestsPerSecond());
         }
-        long sinceMs = clock.nowMs() - (entry.limited() ? entry.statedMs + STALE_MS : entry.changedMs);
-        double from = Math.max(LEAST_RAMP_RATE, entry.limited() ? entry.news.getRequestsPerSecond() : entry.rampFrom);
+        long sinceMs = clock.nowMs() - (entry.isLimited() ? entry.advertisedMs + STALE_AFTER_MS : entry.changedMs);
+        double from =
+                Math.max(MIN_RAMP_RATE, entry.isLimited() ? entry.news.getRequestsPerSecond() : entry.rampStartRate);
         return sinceMs < RAMP_MS
-                ? OptionalDouble.of(from * Math.pow(2, sinceMs / DOUBLING_MS))
+                ? OptionalDouble.of(from * Math.pow(2, sinceMs / RAMP_DOUBLING_MS))
                 : OptionalDouble.empty();
     }
 
@@ -147,29 +148,29 @@
      * @param endpoint identifier and incarnation of the endpoint
      * @param requestsPerSecond the rate
      */
-    public void stated(String endpoint, double requestsPerSecond) {
+    public void advertised(String endpoint, double requestsPerSecond) {
         long nowMs = clock.nowMs();
         Entry entry = entries.get(endpoint);
         boolean raised = entry != null
-                && entry.limited()
+                && entry.isLimited()
                 && requestsPerSecond > entry.news.getRequestsPerSecond()
-                && nowMs - entry.lowestMs < RAISE_AFTER_MS;
+                && nowMs - entry.notHigherMs < RAISE_DELAY_MS;
         boolean another = entry == null || entry.news.getRequestsPerSecond() != requestsPerSecond;
         if (another && !raised) {
             publish(endpoint, requestsPerSecond);
         }
         Entry known = entries.get(endpoint);
-        known.statedMs = nowMs;
+        known.advertisedMs = nowMs;
         if (requestsPerSecond <= known.news.getRequestsPerSecond()) {
-            known.lowestMs = nowMs;
+            known.notHigherMs = nowMs;
         }
-        tellAgain(endpoint, known);
+        rebroadcast(endpoint, known);
     }
 
     /** Records an answer that states a rate which can't be read: the rate that is known holds on. */
-    public void statedUnreadable(String endpoint) {
+    public void advertisedUnreadable(String endpoint) {
         Entry entry = entries.get(endpoint);
-        stated(endpoint, entry != null && entry.limited() ? entry.news.getRequestsPerSecond() : UNREADABLE_RATE);
+        advertised(endpoint, entry != null && entry.isLimited() ? entry.news.getRequestsPerSecond() : UNREADABLE_RATE);
     }
 
     /**
@@ -178,20 +179,20 @@
      * @param endpoint identifier and incarnation of the endpoint
      * @param sentMs when its request was sent, in ms of the clock
      */
-    public void notStated(String endpoint, long sentMs) {
+    public void notAdvertised(String endpoint, long sentMs) {
         Entry entry = entries.get(endpoint);
         boolean over = entry != null
-                && entry.limited()
-                && sentMs > entry.statedMs
-                && clock.nowMs() - entry.statedMs >= RAISE_AFTER_MS;
+                && entry.isLimited()
+                && sentMs > entry.advertisedMs
+                && clock.nowMs() - entry.advertisedMs >= RAISE_DELAY_MS;
         if (over) {
             publish(endpoint, CLEARED);
         }
     }
 
     /** A rate that holds on is told again, so that boxes which get no answers don't take it for stale. */
-    private void tellAgain(String endpoint, Entry entry) {
-        if (clock.nowMs() - entry.toldMs >= TELL_AGAIN_MS) {
+    private void rebroadcast(String endpoint, Entry entry) {
+        if (clock.nowMs() - entry.broadcastMs >= REBROADCAST_INTERVAL_MS) {
             publish(endpoint, entry.news.getRequestsPerSecond());
         }
     }
@@ -200,25 +201,25 @@
         Entry known = entries.get(endpoint);
         int revision = known == null ? 1 : known.news.getRevision() + 1;
         LimitNews news = new LimitNews(endpoint, revision, requestsPerSecond, boxId);
-        adopt(news);
-        entries.get(endpoint).toldMs = clock.nowMs();
-        listener.tell(news, null);
+        apply(news);
+        entries.get(endpoint).broadcastMs = clock.nowMs();
+        listener.broadcast(news, null);
     }
 
-    private void adopt(LimitNews news) {
+    private void apply(LimitNews news) {
         String endpoint = news.getEndpoint();
         long nowMs = clock.nowMs();
         Entry entry = entries.computeIfAbsent(endpoint, name -> new Entry());
         boolean first = entry.news == null;
         boolean another = first || entry.news.getRequestsPerSecond() != news.getRequestsPerSecond();
-        if (another && !first && entry.limited()) {
-            entry.rampFrom = entry.news.getRequestsPerSecond();
+        if (another && !first && entry.isLimited()) {
+            entry.rampStartRate = entry.news.getRequestsPerSecond();
         }
         entry.news = news;
-        entry.statedMs = nowMs;
-        entry.lowestMs = nowMs;
-        entry.toldMs = nowMs;
-        if (first && !entry.limited()) {
+        entry.advertisedMs = nowMs;
+        entry.notHigherMs = nowMs;
+        entry.broadcastMs = nowMs;
+        if (first && !entry.isLimited()) {
             // The endpoint was released before this box knew of its limit.
             entry.changedMs = nowMs - RAMP_MS;
         } else if (another) {
@@ -228,24 +229,24 @@
     }
 
     private Limit limit(String endpoint, Entry entry) {
-        double rate = entry.limited() ? entry.news.getRequestsPerSecond() : Double.POSITIVE_INFINITY;
+        double rate = entry.isLimited() ? entry.news.getRequestsPerSecond() : Double.POSITIVE_INFINITY;
         return new Limit(endpoint, rate, clock.nowMs() - entry.changedMs, entry.news.getBox());
     }
 
-    private boolean clearedByAge(Entry entry) {
-        return clock.nowMs() - entry.statedMs >= STALE_MS;
+    private boolean isStale(Entry entry) {
+        return clock.nowMs() - entry.advertisedMs >= STALE_AFTER_MS;
     }
 
     /** Takes what another box tells. */
-    public void heard(String box, LimitNews news) {
+    public void receive(String box, LimitNews news) {
         Entry known = entries.get(news.getEndpoint());
-        if (known == null || replaces(news, known.news)) {
-            adopt(news);
-            listener.tell(news, box);
+        if (known == null || supersedes(news, known.news)) {
+            apply(news);
+            listener.broadcast(news, box);
         }
     }
 
-    private static boolean replaces(LimitNews news, LimitNews known) {
+    private static boolean supersedes(LimitNews news, LimitNews known) {
         if (news.getRevision() != known.getRevision()) {
             return news.getRevision() > known.getRevision();
         }
@@ -259,7 +260,7 @@
     }
 
     /** Returns all that a box which has just been linked needs. */
-    public List<LimitNews> known() {
+    public List<LimitNews> snapshot() {
         return entries.values().stream().map(entry -> entry.news).toList();
     }
 
@@ -267,7 +268,7 @@
     public void retain(Set<String> listed) {
         long nowMs = clock.nowMs();
         entries.entrySet()
-                .removeIf(
-                        entry -> !listed.contains(entry.getKey()) && nowMs - entry.getValue().changedMs >= UNLISTED_MS);
+                .removeIf(entry -> !listed.contains(entry.getKey())
+                        && nowMs - entry.getValue().changedMs >= UNLISTED_RETENTION_MS);
     }
 }
--- a/core/src/main/java/org/wingstall/core/limit/ArrivalRate.java
+++ b/core/src/main/java/org/wingstall/core/limit/ArrivalRate.java
@@ -27,7 +27,7 @@
     }
 
     /** Records an arrival. */
-    public synchronized void arrived() {
+    public synchronized void recordArrival() {
         decay();
         perSecond += 1000 / TIME_CONSTANT_MS;
     }
--- a/core/src/main/java/org/wingstall/core/limit/DemandSums.java
+++ b/core/src/main/java/org/wingstall/core/limit/DemandTotals.java
@@ -12,7 +12,7 @@
  *
  * @since 0.1
  */
-public final class DemandSums {
+public final class DemandTotals {
     private final Map<String, Double> perSecond = new HashMap<>();
 
     /** Adds the demand at a box or failure domain; null when it tells none. */
--- a/core/src/main/java/org/wingstall/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/wingstall/core/limit/TokenBucket.java
@@ -14,7 +14,7 @@
 
     private final MonotonicClock clock;
     private double tokens = 1;
-    private long filledAtMs;
+    private long refilledAtMs;
 
     /**
      * Creates a bucket with one token.
@@ -23,7 +23,7 @@
      */
     public TokenBucket(MonotonicClock clock) {
         this.clock = clock;
-        this.filledAtMs = clock.nowMs();
+        this.refilledAtMs = clock.nowMs();
     }
 
     /**
@@ -35,8 +35,8 @@
     public synchronized boolean tryTake(double perSecond) {
         long nowMs = clock.nowMs();
         double capacity = Math.max(1, perSecond);
-        tokens = Math.min(capacity, tokens + (nowMs - filledAtMs) * perSecond / MS_PER_SECOND);
-        filledAtMs = nowMs;
+        tokens = Math.min(capacity, tokens + (nowMs - refilledAtMs) * perSecond / MS_PER_SECOND);
+        refilledAtMs = nowMs;
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/org/wingstall/core/limit/WorkspaceLimiter.java
+++ b/core/src/main/java/org/wingstall/core/limit/WorkspaceLimiter.java
@@ -25,12 +25,12 @@
     /** Limits at or above this are no limit. */
     public static final double NO_LIMIT_PER_SECOND = 1_000_000;
 
-    private static final int MOST_REPORTED = 3;
+    private static final int MAX_REPORTED_WORKSPACES = 3;
 
     /** Demand is known everywhere after this many tellings: to link boxes, across, and to the boxes there. */
-    private static final int TELLINGS_TO_SETTLE = 4;
+    private static final int INTERVALS_TO_SETTLE = 4;
 
-    private static final long LEAST_SETTLE_MS = 6_000;
+    private static final long MIN_SETTLE_MS = 6_000;
 
     /** A workspace without arrivals for this long has to settle anew, in ms. */
     private static final long IDLE_MS = 10_000;
@@ -38,7 +38,7 @@
     private final MonotonicClock clock;
     private final RetryAfter retryAfter;
     private final Map<String, Meter> meters = new ConcurrentHashMap<>();
-    private volatile Fleet fleet = new Fleet(1, 1, Map.of(), LEAST_SETTLE_MS);
+    private volatile Fleet fleet = new Fleet(1, 1, Map.of(), MIN_SETTLE_MS);
 
     private static final class Meter {
         private final TokenBucket bucket;
@@ -53,20 +53,20 @@
             this.lastArrivalMs = activeSinceMs;
         }
 
-        void arrived(long nowMs) {
+        void recordArrival(long nowMs) {
             if (nowMs - lastArrivalMs > IDLE_MS) {
                 activeSinceMs = nowMs;
             }
             lastArrivalMs = nowMs;
-            arrivals.arrived();
+            arrivals.recordArrival();
         }
 
-        boolean settled(long nowMs, long settleMs) {
+        boolean isSettled(long nowMs, long settleMs) {
             return nowMs - activeSinceMs > settleMs;
         }
     }
 
-    private record Fleet(int knownBoxes, int heardBoxes, Map<String, Double> othersPerSecond, long settleMs) {}
+    private record Fleet(int knownBoxes, int reachableBoxes, Map<String, Double> othersPerSecond, long settleMs) {}
 
     /**
      * Creates a limiter that knows of no other gateway.
@@ -87,9 +87,10 @@
      * @param othersPerSecond arrivals a second by workspace at the other boxes heard
      * @param tellingMs time between two tellings of demand, in ms
      */
-    public void fleet(int knownBoxes, int heardBoxes, Map<String, Double> othersPerSecond, long tellingMs) {
-        long settleMs = Math.max(LEAST_SETTLE_MS, TELLINGS_TO_SETTLE * tellingMs);
-        fleet = new Fleet(knownBoxes, heardBoxes, Map.copyOf(othersPerSecond), settleMs);
+    public void updateFleet(
+            int knownBoxes, int reachableBoxes, Map<String, Double> othersPerSecond, long demandIntervalMs) {
+        long settleMs = Math.max(MIN_SETTLE_MS, INTERVALS_TO_SETTLE * demandIntervalMs);
+        fleet = new Fleet(knownBoxes, reachableBoxes, Map.copyOf(othersPerSecond), settleMs);
     }
 
     /**
@@ -103,23 +104,24 @@
             return;
         }
         Meter meter = meters.computeIfAbsent(row.getName(), name -> new Meter(clock));
-        meter.arrived(clock.nowMs());
+        meter.recordArrival(clock.nowMs());
         double share = shareOf(row, meter);
         if (!meter.bucket.tryTake(share)) {
             String detail = "workspace '" + row.getName() + "' is at its limit of " + row.getRequestsPerSecond()
                     + " requests a second";
-            throw new RefusedException(Reason.WORKSPACE_LIMIT, detail, retryAfter.spreadMs(meter.bucket.waitMs(share)));
+            throw new RefusedException(
+                    Reason.WORKSPACE_LIMIT, detail, retryAfter.jitteredMs(meter.bucket.waitMs(share)));
         }
     }
 
     private double shareOf(WorkspaceRow row, Meter meter) {
         Fleet now = fleet;
-        if (!meter.settled(clock.nowMs(), now.settleMs())) {
-            return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.heardBoxes(), 0, 0);
+        if (!meter.isSettled(clock.nowMs(), now.settleMs())) {
+            return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.reachableBoxes(), 0, 0);
         }
         double own = meter.arrivals.perSecond();
         double heard = own + now.othersPerSecond().getOrDefault(row.getName(), 0.0);
-        return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.heardBoxes(), own, heard);
+        return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.reachableBoxes(), own, heard);
     }
 
     /** Returns the busiest limited workspaces and their arrivals a second here, for heartbeats. */
@@ -132,6 +134,6 @@
             }
         });
         demand.sort((a, b) -> Double.compare(b.getPerSecond(), a.getPerSecond()));
-        return List.copyOf(demand.subList(0, Math.min(MOST_REPORTED, demand.size())));
+        return List.copyOf(demand.subList(0, Math.min(MAX_REPORTED_WORKSPACES, demand.size())));
     }
 }
--- a/core/src/main/java/org/wingstall/core/limit/WorkspaceShares.java
+++ b/core/src/main/java/org/wingstall/core/limit/WorkspaceShares.java
@@ -27,14 +27,14 @@
      * @return requests a second that this gateway accepts
      */
     public static double share(
-            double limitPerSecond, int knownBoxes, int heardBoxes, double ownPerSecond, double heardPerSecond) {
-        int known = Math.max(1, Math.max(knownBoxes, heardBoxes));
-        double pool = limitPerSecond * heardBoxes / known;
-        double even = pool / heardBoxes;
-        if (heardPerSecond <= 0) {
+            double limitPerSecond, int knownBoxes, int reachableBoxes, double ownPerSecond, double reachablePerSecond) {
+        int known = Math.max(1, Math.max(knownBoxes, reachableBoxes));
+        double pool = limitPerSecond * reachableBoxes / known;
+        double even = pool / reachableBoxes;
+        if (reachablePerSecond <= 0) {
             return even;
         }
-        double byDemand = pool * Math.min(1, ownPerSecond / heardPerSecond);
+        double byDemand = pool * Math.min(1, ownPerSecond / reachablePerSecond);
         return FLOOR * even + (1 - FLOOR) * byDemand;
     }
 }
--- a/core/src/main/java/org/wingstall/core/member/EndpointRegistry.java
+++ b/core/src/main/java/org/wingstall/core/member/EndpointRegistry.java
@@ -25,7 +25,7 @@
     private final Map<String, Long> leavingIncarnations = new ConcurrentHashMap<>();
     private volatile Map<String, EndpointState> byMember = Map.of();
     private volatile Map<String, List<EndpointState>> byService = Map.of();
-    private volatile boolean known;
+    private volatile boolean memberListSeen;
 
     /**
      * Creates a registry without endpoints.
@@ -37,8 +37,8 @@
     }
 
     /** Returns whether a membership list has been seen. */
-    public boolean known() {
-        return known;
+    public boolean hasMemberList() {
+        return memberListSeen;
     }
 
     /** Returns the endpoints of a service; an immutable list. */
@@ -68,7 +68,7 @@
         }
         leavingIncarnations.keySet().removeIf(id -> byMember.containsKey(id) && !next.containsKey(id));
         publish(next);
-        known = true;
+        memberListSeen = true;
         return staying.stream().filter(EndpointState::leaving).toList();
     }
 
@@ -80,8 +80,8 @@
      * @return whether that was news
      */
     public synchronized boolean markLeaving(String memberId, long incarnation) {
-        Long before = leavingIncarnations.get(memberId);
-        if (before != null && before >= incarnation) {
+        Long previous = leavingIncarnations.get(memberId);
+        if (previous != null && previous >= incarnation) {
             return false;
         }
         leavingIncarnations.put(memberId, incarnation);
@@ -93,10 +93,10 @@
     }
 
     private EndpointState stateOf(Member member) {
-        EndpointState before = byMember.get(member.getMemberId());
-        boolean same = before != null && before.identity().incarnation() == member.getIncarnation();
-        boolean older = before != null && before.identity().incarnation() > member.getIncarnation();
-        EndpointState state = same || older ? before : new EndpointState(EndpointIdentity.of(member), clock);
+        EndpointState previous = byMember.get(member.getMemberId());
+        boolean same = previous != null && previous.identity().incarnation() == member.getIncarnation();
+        boolean older = previous != null && previous.identity().incarnation() > member.getIncarnation();
+        EndpointState state = same || older ? previous : new EndpointState(EndpointIdentity.of(member), clock);
         long incarnation = state.identity().incarnation();
         if (!older && member.getState() == Member.State.LEAVING) {
             leavingIncarnations.merge(member.getMemberId(), incarnation, Math::max);
--- a/core/src/main/java/org/wingstall/core/member/MemberChanges.java
+++ b/core/src/main/java/org/wingstall/core/member/MemberListDiff.java
@@ -11,12 +11,12 @@
 /**
  * Differences between two states of the membership list, so that one box of a failure domain reads it for the others.
  *
- * <p>{@code MemberNews news = MemberChanges.between(before, after, 0); ... MemberChanges.apply(mine, news);}
+ * <p>{@code MemberNews news = MemberListDiff.between(before, after, 0); ... MemberListDiff.apply(mine, news);}
  *
  * @since 0.1
  */
-public final class MemberChanges {
-    private MemberChanges() {}
+public final class MemberListDiff {
+    private MemberListDiff() {}
 
     /**
      * Returns what turns one list into another.
@@ -45,14 +45,14 @@
      * @param news the change
      * @return the list after the change, or empty when the change was made for another list
      */
-    public static Optional<MemberSnapshot> apply(MemberSnapshot mine, MemberNews news) {
-        if (mine.shortTag() == 0 || !mine.tag().equals(news.getBeforeTag())) {
+    public static Optional<MemberSnapshot> apply(MemberSnapshot base, MemberNews diff) {
+        if (base.shortTag() == 0 || !base.tag().equals(diff.getBeforeTag())) {
             return Optional.empty();
         }
-        Map<String, Member> members = byId(mine);
-        news.getRemoved().forEach(members::remove);
-        news.getChanged().forEach(member -> members.put(member.getMemberId(), member));
-        return Optional.of(new MemberSnapshot(news.getTag(), List.copyOf(members.values())));
+        Map<String, Member> members = byId(base);
+        diff.getRemoved().forEach(members::remove);
+        diff.getChanged().forEach(member -> members.put(member.getMemberId(), member));
+        return Optional.of(new MemberSnapshot(diff.getTag(), List.copyOf(members.values())));
     }
 
     private static Map<String, Member> byId(MemberSnapshot list) {
--- a/core/src/main/java/org/wingstall/core/member/MemberSnapshot.java
+++ b/core/src/main/java/org/wingstall/core/member/MemberSnapshot.java
@@ -19,7 +19,7 @@
     /** No list. */
     public static final MemberSnapshot NONE = new MemberSnapshot("", List.of());
 
-    private static final int SHORT_TAG_BITS = 0x7fff_ffff;
+    private static final int SHORT_TAG_MASK = 0x7fff_ffff;
 
     /** Copies the members. */
     public MemberSnapshot {
@@ -33,7 +33,7 @@
      * @param members the members
      * @return the list
      */
-    public static MemberSnapshot tagged(List<Member> members) {
+    public static MemberSnapshot withContentTag(List<Member> members) {
         List<Member> sorted = members.stream()
                 .sorted(Comparator.comparing(Member::getMemberId))
                 .toList();
@@ -54,6 +54,6 @@
 
     /** Returns a short hash of the tag, at least 1; 0 when the platform gave no tag. */
     public int shortTag() {
-        return tag.isEmpty() ? 0 : Math.max(1, tag.hashCode() & SHORT_TAG_BITS);
+        return tag.isEmpty() ? 0 : Math.max(1, tag.hashCode() & SHORT_TAG_MASK);
     }
 }
--- a/core/src/main/java/org/wingstall/core/peer/DomainMesh.java
+++ b/core/src/main/java/org/wingstall/core/peer/DomainMesh.java
@@ -23,7 +23,7 @@
 
     /** No box works for all others: there are links between few boxes of different domains. */
     @Override
-    public Set<String> carriers(Box self, Collection<Box> reachable) {
+    public Set<String> hubs(Box self, Collection<Box> reachable) {
         return Set.of();
     }
 }
--- a/core/src/main/java/org/wingstall/core/peer/HeartbeatPacer.java
+++ b/core/src/main/java/org/wingstall/core/peer/HeartbeatPacer.java
@@ -12,9 +12,9 @@
     /** Bytes of IP and TCP headers for a segment and its acknowledgement. */
     private static final int HEADER_BYTES = 2 * 52;
 
-    private static final double PLAIN_SHARE = 0.8;
+    private static final double PLAIN_BUDGET_SHARE = 0.8;
 
-    private final long shortestMs;
+    private final long minIntervalMs;
     private final double budgetBytesPerSecond;
 
     /**
@@ -37,7 +37,7 @@
      * @param budgetBytesPerSecond bytes a second that heartbeats may cost, both ways
      */
     public HeartbeatPacer(long shortestMs, double budgetBytesPerSecond) {
-        this.shortestMs = shortestMs;
+        this.minIntervalMs = shortestMs;
         this.budgetBytesPerSecond = budgetBytesPerSecond;
     }
 
@@ -50,12 +50,13 @@
      * @return when to send what
      */
     public Plan plan(int peers, int plainBytes, int fullBytes) {
-        double plainRound = 2.0 * peers * (plainBytes + HEADER_BYTES);
-        double extraRound = 2.0 * peers * Math.max(0, fullBytes - plainBytes);
-        long needed = (long) Math.ceil(plainRound / (PLAIN_SHARE * budgetBytesPerSecond) * 1000);
-        long intervalMs = Math.max(shortestMs, needed);
-        double left = budgetBytesPerSecond * intervalMs / 1000 - plainRound;
-        int fullEvery = (int) Math.max(1, Math.ceil(extraRound / Math.max(1, left)));
+        double plainBytesPerRound = 2.0 * peers * (plainBytes + HEADER_BYTES);
+        double extraBytesPerRound = 2.0 * peers * Math.max(0, fullBytes - plainBytes);
+        long neededIntervalMs =
+                (long) Math.ceil(plainBytesPerRound / (PLAIN_BUDGET_SHARE * budgetBytesPerSecond) * 1000);
+        long intervalMs = Math.max(minIntervalMs, neededIntervalMs);
+        double spareBytes = budgetBytesPerSecond * intervalMs / 1000 - plainBytesPerRound;
+        int fullEvery = (int) Math.max(1, Math.ceil(extraBytesPerRound / Math.max(1, spareBytes)));
         return new Plan(intervalMs, fullEvery);
     }
 }
--- a/core/src/main/java/org/wingstall/core/peer/BeatTurns.java
+++ b/core/src/main/java/org/wingstall/core/peer/HeartbeatThrottle.java
@@ -8,11 +8,11 @@
  *
  * @since 0.8
  */
-public final class BeatTurns {
+public final class HeartbeatThrottle {
     /** Turns from one heartbeat to the next of a box that does no work for others. */
-    public static final int SELDOM = 5;
+    public static final int NON_HUB_INTERVAL_TICKS = 5;
 
-    private int sinceLast;
+    private int ticksSinceLast;
 
     /**
      * Records a turn.
@@ -20,11 +20,11 @@
      * @param worksForOthers whether others have work done by this box
      * @return whether heartbeats are sent at this turn
      */
-    public boolean due(boolean worksForOthers) {
-        sinceLast++;
-        boolean due = worksForOthers || sinceLast >= SELDOM;
+    public boolean isDue(boolean worksForOthers) {
+        ticksSinceLast++;
+        boolean due = worksForOthers || ticksSinceLast >= NON_HUB_INTERVAL_TICKS;
         if (due) {
-            sinceLast = 0;
+            ticksSinceLast = 0;
         }
         return due;
     }
--- a/core/src/main/java/org/wingstall/core/peer/HubLinks.java
+++ b/core/src/main/java/org/wingstall/core/peer/HubLinks.java
@@ -22,7 +22,7 @@
  * @since 0.3
  */
 public final class HubLinks implements LinkStrategy {
-    private final int wholeMeshBoxes;
+    private final int maxFullMeshBoxes;
     private final int hubsPerDomain;
 
     /**
@@ -32,26 +32,26 @@
      * @param hubsPerDomain hubs of a failure domain; two or more, so that the loss of one leaves another
      */
     public HubLinks(int wholeMeshBoxes, int hubsPerDomain) {
-        this.wholeMeshBoxes = wholeMeshBoxes;
+        this.maxFullMeshBoxes = wholeMeshBoxes;
         this.hubsPerDomain = hubsPerDomain;
     }
 
     @Override
     public Set<String> linksOf(Box self, Collection<Box> reachable, Collection<Box> known) {
-        Set<String> links = new HashSet<>(carriers(self, reachable));
+        Set<String> links = new HashSet<>(hubs(self, reachable));
         links.remove(self.boxId());
         return links;
     }
 
     @Override
-    public Set<String> carriers(Box self, Collection<Box> reachable) {
+    public Set<String> hubs(Box self, Collection<Box> reachable) {
         Map<String, List<Box>> domains = Stream.concat(Stream.of(self), reachable.stream())
                 .filter(distinctById())
                 .collect(Collectors.groupingBy(Box::failureDomain, TreeMap::new, Collectors.toList()));
-        int boxes = domains.values().stream().mapToInt(List::size).sum();
-        int most = boxes <= wholeMeshBoxes ? boxes : hubsPerDomain;
+        int boxCount = domains.values().stream().mapToInt(List::size).sum();
+        int maxPerDomain = boxCount <= maxFullMeshBoxes ? boxCount : hubsPerDomain;
         return domains.values().stream()
-                .flatMap(domain -> domain.stream().sorted(BY_CAPACITY).limit(most))
+                .flatMap(domain -> domain.stream().sorted(BY_CAPACITY).limit(maxPerDomain))
                 .map(Box::boxId)
                 .collect(Collectors.toSet());
     }
--- a/core/src/main/java/org/wingstall/core/peer/LinkPlan.java
+++ b/core/src/main/java/org/wingstall/core/peer/LinkPlan.java
@@ -16,7 +16,7 @@
  * @since 0.1
  */
 public final class LinkPlan {
-    private static final int LINK_BOXES = 2;
+    private static final int LINKED_BOXES_PER_DOMAIN = 2;
 
     private LinkPlan() {}
 
@@ -55,18 +55,18 @@
         links.remove(self.boxId());
         domains.forEach((domain, ids) -> {
             if (!domain.equals(self.failureDomain()) && isLinkBox(self, domain, domains.get(self.failureDomain()))) {
-                links.addAll(Rendezvous.top(pair(self.failureDomain(), domain), ids, LINK_BOXES));
+                links.addAll(RendezvousHash.top(pairKey(self.failureDomain(), domain), ids, LINKED_BOXES_PER_DOMAIN));
             }
         });
         return links;
     }
 
     private static boolean isLinkBox(Box self, String otherDomain, Collection<String> own) {
-        return Rendezvous.top(pair(self.failureDomain(), otherDomain), own, LINK_BOXES)
+        return RendezvousHash.top(pairKey(self.failureDomain(), otherDomain), own, LINKED_BOXES_PER_DOMAIN)
                 .contains(self.boxId());
     }
 
-    private static String pair(String one, String other) {
+    private static String pairKey(String one, String other) {
         return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
     }
 }
--- a/core/src/main/java/org/wingstall/core/peer/LinkStrategy.java
+++ b/core/src/main/java/org/wingstall/core/peer/LinkStrategy.java
@@ -29,5 +29,5 @@
      * @param reachable boxes known and not found unreachable
      * @return identifiers of the boxes
      */
-    Set<String> carriers(Box self, Collection<Box> reachable);
+    Set<String> hubs(Box self, Collection<Box> reachable);
 }
--- a/core/src/main/java/org/wingstall/core/peer/Rendezvous.java
+++ b/core/src/main/java/org/wingstall/core/peer/RendezvousHash.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing: all who know the same boxes choose the same ones, and a box lost moves only what it held.
+ * RendezvousHash hashing: all who know the same boxes choose the same ones, and a box lost moves only what it held.
  *
- * <p>{@code String batcher = Rendezvous.top("claims", boxes, 1).get(0);}
+ * <p>{@code String batcher = RendezvousHash.top("claims", boxes, 1).get(0);}
  *
  * @since 0.1
  */
-public final class Rendezvous {
-    private Rendezvous() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
     /**
      * Chooses boxes for a purpose.
--- a/core/src/main/java/org/wingstall/core/quarantine/CrashLedger.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/CrashRecordStore.java
@@ -12,15 +12,15 @@
  * Which endpoints ended under which requests, as this box saw it and others told it. Bounded in number; not safe for use on
  * several threads.
  */
-final class CrashLedger {
+final class CrashRecordStore {
     /** Requests that are remembered; each takes some hundred bytes, and a lost endpoint leaves at most what it ran at once. */
-    private static final int MOST_REQUESTS = 2000;
+    private static final int MAX_REQUESTS = 2000;
 
     /**
      * Time after the last loss for which a request that is not held back stays suspected, in ms: a request that crashes
      * endpoints comes again within seconds, and a later loss of an unlucky one is another matter.
      */
-    private static final long SUSPECT_MS = 120_000;
+    private static final long SUSPICION_MS = 120_000;
 
     private final Map<Fingerprint, CrashRecord> records = new HashMap<>();
 
@@ -30,27 +30,27 @@
 
     /** Returns what is known of a request; nothing of one that was never suspected or lately no more. */
     CrashRecord find(Fingerprint request, long nowMs) {
-        CrashRecord record = records.getOrDefault(request, CrashRecord.NONE);
-        return expired(record, nowMs) ? CrashRecord.NONE : record;
+        CrashRecord record = records.getOrDefault(request, CrashRecord.EMPTY);
+        return expired(record, nowMs) ? CrashRecord.EMPTY : record;
     }
 
     /** Adds a report; returns all that is known of its request since, or nothing when the report told nothing new. */
     Optional<CrashReport> add(CrashReport report, long nowMs) {
         Fingerprint request = new Fingerprint(report.getFingerprint());
         CrashRecord before = find(request, nowMs);
-        CrashRecord after = before.plus(report, nowMs);
-        if (!after.saysMoreThan(before) || expired(after, nowMs)) {
+        CrashRecord after = before.merge(report, nowMs);
+        if (!after.containsMoreThan(before) || expired(after, nowMs)) {
             return Optional.empty();
         }
         records.put(request, after);
-        if (records.size() > MOST_REQUESTS) {
-            makeRoom(nowMs);
+        if (records.size() > MAX_REQUESTS) {
+            evict(nowMs);
         }
-        return Optional.of(after.report(request, nowMs));
+        return Optional.of(after.toReport(request, nowMs));
     }
 
     /** Returns the requests under which an incarnation ended, as far as it is known. */
-    List<Fingerprint> lostWith(String incarnation) {
+    List<Fingerprint> requestsLostWith(String incarnation) {
         return records.entrySet().stream()
                 .filter(entry -> entry.getValue().losses().contains(incarnation))
                 .filter(entry -> !entry.getValue().withdrawn().contains(incarnation))
@@ -64,24 +64,24 @@
 
     List<CrashReport> reports(long nowMs) {
         return records.entrySet().stream()
-                .map(entry -> entry.getValue().report(entry.getKey(), nowMs))
+                .map(entry -> entry.getValue().toReport(entry.getKey(), nowMs))
                 .toList();
     }
 
-    void dropExpired(long nowMs) {
+    void removeExpired(long nowMs) {
         records.values().removeIf(record -> expired(record, nowMs));
     }
 
     /** Drops the least suspected, and of those the oldest; a tenth at once, since each time takes a look at all. */
-    private void makeRoom(long nowMs) {
-        dropExpired(nowMs);
-        int tooMany = records.size() - MOST_REQUESTS;
+    private void evict(long nowMs) {
+        removeExpired(nowMs);
+        int tooMany = records.size() - MAX_REQUESTS;
         if (tooMany > 0) {
             List<Fingerprint> least = records.entrySet().stream()
                     .sorted(Comparator.comparingInt((Map.Entry<Fingerprint, CrashRecord> entry) ->
-                                    entry.getValue().standing())
-                            .thenComparingLong(entry -> entry.getValue().lastAtMs()))
-                    .limit(tooMany + MOST_REQUESTS / 10)
+                                    entry.getValue().activeLossCount())
+                            .thenComparingLong(entry -> entry.getValue().lastLossAtMs()))
+                    .limit(tooMany + MAX_REQUESTS / 10)
                     .map(Map.Entry::getKey)
                     .toList();
             least.forEach(records::remove);
@@ -89,7 +89,9 @@
     }
 
     private static boolean expired(CrashRecord record, long nowMs) {
-        long keptMs = record.standing() >= Quarantine.LOSSES ? Quarantine.FORGET_MS : SUSPECT_MS;
-        return nowMs - record.lastAtMs() >= keptMs;
+        long keptMs = record.activeLossCount() >= Quarantine.QUARANTINE_THRESHOLD
+                ? Quarantine.REPORT_RETENTION_MS
+                : SUSPICION_MS;
+        return nowMs - record.lastLossAtMs() >= keptMs;
     }
 }
--- a/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
@@ -29,42 +29,42 @@
  */
 public final class Quarantine {
     /** Age from which a report is of no use to anybody, in ms: a day. */
-    public static final long FORGET_MS = 86_400_000;
+    public static final long REPORT_RETENTION_MS = 86_400_000;
 
     /** Losses from which a request is held back. */
-    static final int LOSSES = 3;
+    static final int QUARANTINE_THRESHOLD = 3;
 
     /** Time for which a request is held back after its third loss, in ms; operators who mend it earlier lift it. */
-    private static final long HOLD_MS = 600_000;
+    private static final long INITIAL_QUARANTINE_MS = 600_000;
 
     /** Doublings of that time, one for each further loss: up to ten hours. */
-    private static final int MOST_DOUBLINGS = 6;
+    private static final int MAX_DOUBLINGS = 6;
 
     /** Time for which a trial counts when no end of it is heard, in ms; crashes come within a second of a run's begin. */
-    private static final long TRIAL_MS = 5000;
+    private static final long TRIAL_TIMEOUT_MS = 5000;
 
     /** Time for which the end of a trial is remembered, in ms: far longer than news is under way. */
-    private static final long TRIAL_REMEMBERED_MS = 60_000;
+    private static final long ENDED_TRIAL_RETENTION_MS = 60_000;
 
     /** When to come back while another box tries the same request, in ms. */
-    private static final long TRIAL_AGAIN_MS = 1000;
+    private static final long TRIAL_RETRY_AFTER_MS = 1000;
 
     /** Pause between two looks for what has expired, in ms: a look goes over all that is remembered. */
-    private static final long DROP_MS = 1000;
+    private static final long EXPIRY_INTERVAL_MS = 1000;
 
     /** Reports in one message; bounds a frame to some ten KB. */
-    private static final int REPORTS_A_MESSAGE = 100;
+    private static final int MAX_REPORTS_PER_MESSAGE = 100;
 
     private final String boxId;
     private final MonotonicClock clock;
     private final Listener listener;
-    private final CrashLedger ledger = new CrashLedger();
+    private final CrashRecordStore crashRecords = new CrashRecordStore();
     private final Map<Fingerprint, Trial> trials = new HashMap<>();
-    private final Map<String, Long> overAtMs = new HashMap<>();
-    private final Map<String, Long> endedAtMs = new HashMap<>();
+    private final Map<String, Long> trialEndedAtMs = new HashMap<>();
+    private final Map<String, Long> endpointLostAtMs = new HashMap<>();
 
-    private long trialsBegun;
-    private long droppedAtMs = Long.MIN_VALUE / 2;
+    private long startedTrials;
+    private long lastExpiryMs = Long.MIN_VALUE / 2;
 
     /** Whether nothing is suspected, as on most days: requests are not even hashed then. */
     private volatile boolean idle = true;
@@ -72,10 +72,10 @@
     /** Passes on what this box learns. */
     public interface Listener {
         /** Tells all linked boxes, but for the one that it was heard from, which may be null. */
-        void tell(CrashNews news, String exceptBox);
+        void broadcast(CrashNews news, String exceptBox);
 
         /** Keeps a report where it outlives all boxes and reaches those without a link. */
-        void keep(CrashReport report);
+        void persist(CrashReport report);
 
         /** Records that a request is suspected, held back or cleared. */
         void changed(CrashReport report, int standing);
@@ -98,48 +98,50 @@
     }
 
     /** Returns why a request is not to be sent now; hashed only while something is suspected. */
-    public Optional<Hold> hold(Supplier<Fingerprint> request) {
-        return idle ? Optional.empty() : hold(request.get());
+    public Optional<QuarantineRefusal> refusal(Supplier<Fingerprint> request) {
+        return idle ? Optional.empty() : refusal(request.get());
     }
 
-    private synchronized Optional<Hold> hold(Fingerprint request) {
+    private synchronized Optional<QuarantineRefusal> refusal(Fingerprint request) {
         long nowMs = clock.nowMs();
-        CrashRecord record = ledger.find(request, nowMs);
-        long leftMs = heldForMs(record, nowMs);
+        CrashRecord record = crashRecords.find(request, nowMs);
+        long leftMs = remainingQuarantineMs(record, nowMs);
         if (leftMs > 0) {
-            String detail = record.standing() + " endpoints ended while they ran this request";
-            return Optional.of(new Hold(Reason.QUARANTINED, detail, leftMs));
+            String detail = record.activeLossCount() + " endpoints ended while they ran this request";
+            return Optional.of(new QuarantineRefusal(Reason.QUARANTINED, detail, leftMs));
         }
-        if (suspected(record) && trials.containsKey(request)) {
+        if (needsTrial(record) && trials.containsKey(request)) {
             if (trials.get(request).untilMs() > nowMs) {
                 String detail = "endpoints ended while they ran this request, and one tries it now";
-                return Optional.of(new Hold(Reason.SUSPECT_ON_TRIAL, detail, TRIAL_AGAIN_MS));
+                return Optional.of(new QuarantineRefusal(Reason.SUSPECT_ON_TRIAL, detail, TRIAL_RETRY_AFTER_MS));
             }
             trials.remove(request);
         }
         return Optional.empty();
     }
 
-    private static long heldForMs(CrashRecord record, long nowMs) {
-        int standing = record.standing();
-        if (standing < LOSSES) {
+    private static long remainingQuarantineMs(CrashRecord record, long nowMs) {
+        int standing = record.activeLossCount();
+        if (standing < QUARANTINE_THRESHOLD) {
             return 0;
         }
         // A full record would not show what a further trial ended, so there is none.
-        long holdMs = record.full() ? FORGET_MS : HOLD_MS << Math.min(MOST_DOUBLINGS, standing - LOSSES);
-        return Math.max(0, record.lastAtMs() + holdMs - nowMs);
+        long holdMs = record.isFull()
+                ? REPORT_RETENTION_MS
+                : INITIAL_QUARANTINE_MS << Math.min(MAX_DOUBLINGS, standing - QUARANTINE_THRESHOLD);
+        return Math.max(0, record.lastLossAtMs() + holdMs - nowMs);
     }
 
-    private static boolean suspected(CrashRecord record) {
-        return record.standing() >= LOSSES - 1;
+    private static boolean needsTrial(CrashRecord record) {
+        return record.activeLossCount() >= QUARANTINE_THRESHOLD - 1;
     }
 
     /** Returns the incarnations that a request had better not go to, since another one is on trial there. */
-    public Set<String> shunned(Supplier<Fingerprint> request) {
-        return idle ? Set.of() : shunned(request.get());
+    public Set<String> endpointsToAvoid(Supplier<Fingerprint> request) {
+        return idle ? Set.of() : endpointsToAvoid(request.get());
     }
 
-    private synchronized Set<String> shunned(Fingerprint request) {
+    private synchronized Set<String> endpointsToAvoid(Fingerprint request) {
         long nowMs = clock.nowMs();
         Set<String> shunned = new HashSet<>();
         trials.forEach((other, trial) -> {
@@ -153,7 +155,7 @@
     /**
      * Records that a request is sent to an endpoint.
      *
-     * @return the trial that it is on there, which whoever sent it ends by {@link #over}; empty for one that is not suspected
+     * @return the trial that it is on there, which whoever sent it ends by {@link #endTrial}; empty for one that is not suspected
      */
     public Optional<String> sent(Supplier<Fingerprint> request, String endpoint) {
         return idle ? Optional.empty() : sent(request.get(), endpoint);
@@ -161,44 +163,44 @@
 
     private synchronized Optional<String> sent(Fingerprint request, String endpoint) {
         long nowMs = clock.nowMs();
-        if (!suspected(ledger.find(request, nowMs))) {
+        if (!needsTrial(crashRecords.find(request, nowMs))) {
             return Optional.empty();
         }
-        String id = boxId + "/" + Long.toHexString(clock.nanoTime()) + "/" + trialsBegun++;
-        trials.put(request, new Trial(id, endpoint, nowMs + TRIAL_MS));
-        listener.tell(news(new CrashTrial(request.hex(), id, endpoint)), null);
+        String id = boxId + "/" + Long.toHexString(clock.nanoTime()) + "/" + startedTrials++;
+        trials.put(request, new Trial(id, endpoint, nowMs + TRIAL_TIMEOUT_MS));
+        listener.broadcast(trialMessage(new CrashTrial(request.hex(), id, endpoint)), null);
         return Optional.of(id);
     }
 
     /** Records that a trial of this box has ended, in whatever way. */
-    public synchronized void over(Fingerprint request, String trialId) {
+    public synchronized void endTrial(Fingerprint request, String trialId) {
         CrashTrial over = new CrashTrial(request.hex(), trialId, null);
-        if (trialChanged(over)) {
-            listener.tell(news(over), null);
+        if (applyTrial(over)) {
+            listener.broadcast(trialMessage(over), null);
         }
     }
 
     /** Records that the connection to an endpoint ended while it may have run a request. */
-    public void lost(Fingerprint request, String endpoint) {
-        lost(List.of(request), endpoint);
+    public void endpointLost(Fingerprint request, String endpoint) {
+        endpointLost(List.of(request), endpoint);
     }
 
     /** Records that the connection to an endpoint ended while it may have run some requests. */
-    public synchronized void lost(List<Fingerprint> requests, String endpoint) {
-        endedAtMs.put(endpoint, clock.nowMs());
+    public synchronized void endpointLost(List<Fingerprint> requests, String endpoint) {
+        endpointLostAtMs.put(endpoint, clock.nowMs());
         List<CrashReport> reports = requests.stream()
                 .map(request -> new CrashReport(request.hex(), List.of(endpoint), List.of(), 0))
                 .toList();
-        learn(reports, null, true);
+        mergeReports(reports, null, true);
     }
 
     /** Returns whether an endpoint ended under a request that has not been cleared since. */
-    public boolean suspects(Supplier<Fingerprint> request) {
-        return !idle && standing(request.get()) > 0;
+    public boolean isSuspected(Supplier<Fingerprint> request) {
+        return !idle && activeLossCount(request.get()) > 0;
     }
 
-    private synchronized int standing(Fingerprint request) {
-        return ledger.find(request, clock.nowMs()).standing();
+    private synchronized int activeLossCount(Fingerprint request) {
+        return crashRecords.find(request, clock.nowMs()).activeLossCount();
     }
 
     /**
@@ -219,51 +221,51 @@
     private synchronized void answered(Fingerprint request, String endpoint, long sentAtMs, boolean success) {
         List<CrashReport> cleared = new ArrayList<>();
         if (success) {
-            clearing(request).ifPresent(cleared::add);
+            clearingReport(request).ifPresent(cleared::add);
         }
-        Long endedMs = endedAtMs.get(endpoint);
+        Long endedMs = endpointLostAtMs.get(endpoint);
         if (endedMs != null && sentAtMs > endedMs) {
-            endedAtMs.remove(endpoint);
-            for (Fingerprint other : ledger.lostWith(endpoint)) {
+            endpointLostAtMs.remove(endpoint);
+            for (Fingerprint other : crashRecords.requestsLostWith(endpoint)) {
                 cleared.add(new CrashReport(other.hex(), List.of(), List.of(endpoint), 0));
             }
         }
         if (!cleared.isEmpty()) {
-            learn(cleared, null, true);
+            mergeReports(cleared, null, true);
         }
     }
 
     /** Returns a report that withdraws all losses under a request, if some stand. */
-    private Optional<CrashReport> clearing(Fingerprint request) {
-        CrashRecord record = ledger.find(request, clock.nowMs());
-        return record.standing() == 0
+    private Optional<CrashReport> clearingReport(Fingerprint request) {
+        CrashRecord record = crashRecords.find(request, clock.nowMs());
+        return record.activeLossCount() == 0
                 ? Optional.empty()
                 : Optional.of(new CrashReport(request.hex(), List.of(), List.copyOf(record.losses()), 0));
     }
 
     /** Lets a request through again that an operator has found harmless, or whose endpoints bear it now. */
     public synchronized boolean lift(Fingerprint request) {
-        Optional<CrashReport> lifted = clearing(request);
-        lifted.ifPresent(report -> learn(List.of(report), null, true));
+        Optional<CrashReport> lifted = clearingReport(request);
+        lifted.ifPresent(report -> mergeReports(List.of(report), null, true));
         return lifted.isPresent();
     }
 
     /** Takes in what another box tells; what is new goes on to the others. */
-    public synchronized void heard(String boxId, CrashNews news) {
-        learn(news.getReports(), boxId, false);
+    public synchronized void receive(String boxId, CrashNews news) {
+        mergeReports(news.getReports(), boxId, false);
         List<CrashTrial> changed = new ArrayList<>();
         for (CrashTrial trial : news.getTrials()) {
-            if (trialChanged(trial)) {
+            if (applyTrial(trial)) {
                 changed.add(trial);
             }
         }
         if (!changed.isEmpty()) {
-            listener.tell(new CrashNews(List.of(), changed), boxId);
+            listener.broadcast(new CrashNews(List.of(), changed), boxId);
         }
     }
 
     /** A trial begins once and ends once, in whatever order that is heard, so that news of it comes to rest. */
-    private boolean trialChanged(CrashTrial told) {
+    private boolean applyTrial(CrashTrial told) {
         Fingerprint request = new Fingerprint(told.getFingerprint());
         Trial known = trials.get(request);
         boolean same = known != null && known.id().equals(told.getTrialId());
@@ -271,97 +273,97 @@
             if (same) {
                 trials.remove(request);
             }
-            return overAtMs.put(told.getTrialId(), clock.nowMs()) == null;
+            return trialEndedAtMs.put(told.getTrialId(), clock.nowMs()) == null;
         }
-        if (same || overAtMs.containsKey(told.getTrialId())) {
+        if (same || trialEndedAtMs.containsKey(told.getTrialId())) {
             return false;
         }
-        trials.put(request, new Trial(told.getTrialId(), told.getEndpoint(), clock.nowMs() + TRIAL_MS));
+        trials.put(request, new Trial(told.getTrialId(), told.getEndpoint(), clock.nowMs() + TRIAL_TIMEOUT_MS));
         idle = false;
         return true;
     }
 
     /** Takes in a report that was kept; one that lacks losses known here is kept anew with all of them. */
-    public synchronized void read(CrashReport kept) {
-        learn(List.of(kept), null, false);
-        CrashRecord known = ledger.find(new Fingerprint(kept.getFingerprint()), clock.nowMs());
-        CrashRecord row = CrashRecord.NONE.plus(kept, clock.nowMs());
-        if (known.saysMoreThan(row)) {
-            listener.keep(known.report(new Fingerprint(kept.getFingerprint()), clock.nowMs()));
+    public synchronized void mergeStored(CrashReport kept) {
+        mergeReports(List.of(kept), null, false);
+        CrashRecord known = crashRecords.find(new Fingerprint(kept.getFingerprint()), clock.nowMs());
+        CrashRecord row = CrashRecord.EMPTY.merge(kept, clock.nowMs());
+        if (known.containsMoreThan(row)) {
+            listener.persist(known.toReport(new Fingerprint(kept.getFingerprint()), clock.nowMs()));
         }
     }
 
-    private void learn(List<CrashReport> reports, String fromBox, boolean own) {
+    private void mergeReports(List<CrashReport> reports, String fromBox, boolean own) {
         long nowMs = clock.nowMs();
-        dropExpiredNowAndThen(nowMs);
+        removeExpiredPeriodically(nowMs);
         List<CrashReport> news = new ArrayList<>();
         boolean senderKnows = true;
         for (CrashReport report : reports) {
             Fingerprint request = new Fingerprint(report.getFingerprint());
-            boolean keptBefore = ledger.find(request, nowMs).standing() >= LOSSES;
-            Optional<CrashReport> added = ledger.add(report, nowMs);
+            boolean keptBefore = crashRecords.find(request, nowMs).activeLossCount() >= QUARANTINE_THRESHOLD;
+            Optional<CrashReport> added = crashRecords.add(report, nowMs);
             if (added.isPresent()) {
-                CrashRecord known = ledger.find(request, nowMs);
+                CrashRecord known = crashRecords.find(request, nowMs);
                 news.add(added.get());
-                senderKnows &= !known.saysMoreThan(CrashRecord.NONE.plus(report, nowMs));
-                listener.changed(added.get(), known.standing());
+                senderKnows &= !known.containsMoreThan(CrashRecord.EMPTY.merge(report, nowMs));
+                listener.changed(added.get(), known.activeLossCount());
                 // Each row that is kept wakes every box: of two losses, which a few broken connections bring about,
                 // none is.
-                if (own && (keptBefore || known.standing() >= LOSSES)) {
-                    listener.keep(added.get());
+                if (own && (keptBefore || known.activeLossCount() >= QUARANTINE_THRESHOLD)) {
+                    listener.persist(added.get());
                 }
             }
         }
-        idle = ledger.isEmpty() && trials.isEmpty();
+        idle = crashRecords.isEmpty() && trials.isEmpty();
         String exceptBox = senderKnows ? fromBox : null;
-        messages(news).forEach(message -> listener.tell(message, exceptBox));
+        toMessages(news).forEach(message -> listener.broadcast(message, exceptBox));
     }
 
-    private void dropExpiredNowAndThen(long nowMs) {
-        if (nowMs - droppedAtMs >= DROP_MS) {
-            droppedAtMs = nowMs;
-            endedAtMs.values().removeIf(atMs -> nowMs - atMs >= HOLD_MS);
-            overAtMs.values().removeIf(atMs -> nowMs - atMs >= TRIAL_REMEMBERED_MS);
-            dropExpired(nowMs);
+    private void removeExpiredPeriodically(long nowMs) {
+        if (nowMs - lastExpiryMs >= EXPIRY_INTERVAL_MS) {
+            lastExpiryMs = nowMs;
+            endpointLostAtMs.values().removeIf(atMs -> nowMs - atMs >= INITIAL_QUARANTINE_MS);
+            trialEndedAtMs.values().removeIf(atMs -> nowMs - atMs >= ENDED_TRIAL_RETENTION_MS);
+            removeExpired(nowMs);
         }
     }
 
-    private void dropExpired(long nowMs) {
-        ledger.dropExpired(nowMs);
+    private void removeExpired(long nowMs) {
+        crashRecords.removeExpired(nowMs);
         trials.values().removeIf(trial -> trial.untilMs() <= nowMs);
-        idle = ledger.isEmpty() && trials.isEmpty();
+        idle = crashRecords.isEmpty() && trials.isEmpty();
     }
 
-    private static CrashNews news(CrashTrial trial) {
+    private static CrashNews trialMessage(CrashTrial trial) {
         return new CrashNews(List.of(), List.of(trial));
     }
 
-    private static List<CrashNews> messages(List<CrashReport> reports) {
+    private static List<CrashNews> toMessages(List<CrashReport> reports) {
         List<CrashNews> messages = new ArrayList<>();
-        for (int from = 0; from < reports.size(); from += REPORTS_A_MESSAGE) {
-            int to = Math.min(reports.size(), from + REPORTS_A_MESSAGE);
+        for (int from = 0; from < reports.size(); from += MAX_REPORTS_PER_MESSAGE) {
+            int to = Math.min(reports.size(), from + MAX_REPORTS_PER_MESSAGE);
             messages.add(new CrashNews(reports.subList(from, to), List.of()));
         }
         return messages;
     }
 
     /** Returns all that a box without news needs. */
-    public synchronized List<CrashNews> known() {
-        return messages(reports());
+    public synchronized List<CrashNews> snapshot() {
+        return toMessages(reports());
     }
 
     /** Returns all reports, for operators. */
     public synchronized List<CrashReport> reports() {
-        dropExpired(clock.nowMs());
-        return ledger.reports(clock.nowMs());
+        removeExpired(clock.nowMs());
+        return crashRecords.reports(clock.nowMs());
     }
 
     /** Returns how many requests are held back. */
-    public synchronized int heldBack() {
+    public synchronized int quarantinedCount() {
         long nowMs = clock.nowMs();
-        dropExpired(nowMs);
-        return (int) ledger.requests().stream()
-                .filter(request -> heldForMs(ledger.find(request, nowMs), nowMs) > 0)
+        removeExpired(nowMs);
+        return (int) crashRecords.requests().stream()
+                .filter(request -> remainingQuarantineMs(crashRecords.find(request, nowMs), nowMs) > 0)
                 .count();
     }
 }
--- a/core/src/main/java/org/wingstall/core/quarantine/Hold.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/QuarantineRefusal.java
@@ -12,4 +12,4 @@
  * @param againMs time until it may be sent, in ms
  * @since 0.7
  */
-public record Hold(Reason reason, String detail, long againMs) {}
+public record QuarantineRefusal(Reason reason, String detail, long retryAfterMs) {}
--- a/core/src/main/java/org/wingstall/core/quarantine/GuardedRequest.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/RequestQuarantine.java
@@ -11,7 +11,7 @@
  *
  * @since 0.7
  */
-public final class GuardedRequest {
+public final class RequestQuarantine {
     private final Quarantine quarantine;
     private final Supplier<Fingerprint> request;
     private Optional<String> trial = Optional.empty();
@@ -22,20 +22,20 @@
      * @param quarantine the quarantine
      * @param request gives the request's fingerprint, asked for only while something is suspected
      */
-    public GuardedRequest(Quarantine quarantine, Supplier<Fingerprint> request) {
+    public RequestQuarantine(Quarantine quarantine, Supplier<Fingerprint> request) {
         this.quarantine = quarantine;
         this.request = request;
     }
 
     /** Returns why the request is not to be sent now, or sent once more after its last sending ended. */
-    public Optional<Hold> hold() {
-        over();
-        return quarantine.hold(request);
+    public Optional<QuarantineRefusal> refusal() {
+        endTrial();
+        return quarantine.refusal(request);
     }
 
     /** Returns the incarnations that it had better not go to. */
-    public Set<String> shunned() {
-        return quarantine.shunned(request);
+    public Set<String> endpointsToAvoid() {
+        return quarantine.endpointsToAvoid(request);
     }
 
     /** Records that it is sent to an incarnation. */
@@ -44,8 +44,8 @@
     }
 
     /** Records that the connection to an incarnation ended while it may have run the request. */
-    public void lost(String endpoint) {
-        quarantine.lost(request.get(), endpoint);
+    public void endpointLost(String endpoint) {
+        quarantine.endpointLost(request.get(), endpoint);
     }
 
     /** Records a whole answer to what was sent at a time, in ms of the monotonic clock. */
@@ -54,8 +54,8 @@
     }
 
     /** Records that its last sending has ended, in whatever way. */
-    public void over() {
-        trial.ifPresent(id -> quarantine.over(request.get(), id));
+    public void endTrial() {
+        trial.ifPresent(id -> quarantine.endTrial(request.get(), id));
         trial = Optional.empty();
     }
 }
--- a/core/src/main/java/org/wingstall/core/queue/ArrivalQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/FifoWaitQueue.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 
 /** First come, first served; a baseline. */
-final class ArrivalQueue<W extends Waiter> implements WaitQueue<W> {
+final class FifoWaitQueue<W extends Waiter> implements WaitQueue<W> {
     private final LinkedHashSet<W> waiters = new LinkedHashSet<>();
 
     @Override
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public int aheadOf(int precedence) {
+    public int countAhead(int precedence) {
         return waiters.size();
     }
 }
--- a/core/src/main/java/org/wingstall/core/queue/PrecedenceQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/PrecedenceQueue.java
@@ -2,16 +2,16 @@
 
 /** The highest precedence goes first; within it workspaces share by weight, and each workspace's earliest deadline. */
 final class PrecedenceQueue<W extends Waiter> implements WaitQueue<W> {
-    private static final int LEVELS = 10;
+    private static final int PRECEDENCE_LEVELS = 10;
 
-    private final FairLevel<W>[] levels = newLevels();
+    private final WorkspaceFairQueue<W>[] levels = createLevels();
     private int size;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private static <W extends Waiter> FairLevel<W>[] newLevels() {
-        FairLevel[] levels = new FairLevel[LEVELS];
-        for (int i = 0; i < LEVELS; i++) {
-            levels[i] = new FairLevel();
+    private static <W extends Waiter> WorkspaceFairQueue<W>[] createLevels() {
+        WorkspaceFairQueue[] levels = new WorkspaceFairQueue[PRECEDENCE_LEVELS];
+        for (int i = 0; i < PRECEDENCE_LEVELS; i++) {
+            levels[i] = new WorkspaceFairQueue();
         }
         return levels;
     }
@@ -24,7 +24,7 @@
 
     @Override
     public W poll() {
-        for (int i = LEVELS - 1; i >= 0; i--) {
+        for (int i = PRECEDENCE_LEVELS - 1; i >= 0; i--) {
             W waiter = levels[i].poll();
             if (waiter != null) {
                 size--;
@@ -49,9 +49,9 @@
     }
 
     @Override
-    public int aheadOf(int precedence) {
+    public int countAhead(int precedence) {
         int ahead = 0;
-        for (int i = precedence; i < LEVELS; i++) {
+        for (int i = precedence; i < PRECEDENCE_LEVELS; i++) {
             ahead += levels[i].size();
         }
         return ahead;
--- a/core/src/main/java/org/wingstall/core/queue/WaitEstimate.java
+++ b/core/src/main/java/org/wingstall/core/queue/WaitEstimator.java
@@ -10,15 +10,15 @@
  *
  * @since 0.1
  */
-public interface WaitEstimate {
+public interface WaitEstimator {
     /** Records a new waiter. */
-    void waiting(int precedence);
+    void recordWaiting(int precedence);
 
     /** Records that a waiter gave up. */
-    void gaveUp(int precedence);
+    void recordAbandoned(int precedence);
 
     /** Records that a waiter was served. */
-    void granted(int precedence);
+    void recordGranted(int precedence);
 
     /**
      * Estimates the wait of a new waiter while others wait.
@@ -27,7 +27,7 @@
      * @param bySlotsMs time in which the slots serve those who go before it, in ms
      * @return the wait, in ms
      */
-    double waitMs(int precedence, double bySlotsMs);
+    double waitMs(int precedence, double slotBasedMs);
 
     /**
      * Makes the estimate that the settings name.
@@ -36,10 +36,10 @@
      * @param clock monotonic clock
      * @return an estimate without measurements
      */
-    static WaitEstimate of(Policy policy, MonotonicClock clock) {
+    static WaitEstimator of(Policy policy, MonotonicClock clock) {
         return switch (policy.getWaitEstimate()) {
-            case SLOTS -> new SlotEstimate();
-            case PACE -> new PaceEstimate(clock);
+            case SLOTS -> new SlotEstimator();
+            case PACE -> new GrantIntervalEstimator(clock);
         };
     }
 }
--- a/core/src/main/java/org/wingstall/core/queue/WaitQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/WaitQueue.java
@@ -24,7 +24,7 @@
     int size();
 
     /** Returns the number of waiters that would go before a new one of the precedence. */
-    int aheadOf(int precedence);
+    int countAhead(int precedence);
 
     /**
      * Makes the queue that the settings name.
@@ -35,7 +35,7 @@
      */
     static <W extends Waiter> WaitQueue<W> of(Policy policy) {
         return switch (policy.getOrdering()) {
-            case ARRIVAL -> new ArrivalQueue<>();
+            case ARRIVAL -> new FifoWaitQueue<>();
             case PRECEDENCE -> new PrecedenceQueue<>();
         };
     }
--- a/core/src/main/java/org/wingstall/core/retry/AttemptTimeouts.java
+++ b/core/src/main/java/org/wingstall/core/retry/AttemptTimeouts.java
@@ -14,11 +14,11 @@
     public static final long BETWEEN_TOKENS_MS = 500;
 
     /** Time without a sign of life to any call after which an endpoint that is left alone counts as failing, in ms. */
-    public static final long SILENT_MS = 1000;
+    public static final long UNRESPONSIVE_AFTER_MS = 1000;
 
     private static final double QUANTILE = 0.9;
     private static final double FACTOR = 3;
-    private static final long LEAST_MS = 150;
+    private static final long MIN_MS = 150;
 
     private AttemptTimeouts() {}
 
@@ -30,10 +30,10 @@
      * @return the time allowed, in ms
      */
     public static long firstProgressMs(StageTimes times, long remainingMs) {
-        if (!times.measured()) {
-            return Math.max(LEAST_MS, remainingMs / 2);
+        if (!times.hasEnoughSamples()) {
+            return Math.max(MIN_MS, remainingMs / 2);
         }
         long usual = (long) (FACTOR * times.quantileMs(QUANTILE));
-        return Math.min(remainingMs, Math.max(LEAST_MS, usual));
+        return Math.min(remainingMs, Math.max(MIN_MS, usual));
     }
 }
--- a/core/src/main/java/org/wingstall/core/retry/HedgePolicy.java
+++ b/core/src/main/java/org/wingstall/core/retry/HedgePolicy.java
@@ -22,6 +22,6 @@
 
     /** Returns the policy that the settings ask for. */
     static HedgePolicy of(Policy policy) {
-        return policy.getHedgeBudgetPercent() > 0 ? new HedgeAfterQuantile(policy.getHedgeQuantile()) : new NoHedge();
+        return policy.getHedgeBudgetPercent() > 0 ? new QuantileHedgePolicy(policy.getHedgeQuantile()) : new NoHedge();
     }
 }
--- a/core/src/main/java/org/wingstall/core/retry/HedgeAfterQuantile.java
+++ b/core/src/main/java/org/wingstall/core/retry/QuantileHedgePolicy.java
@@ -4,20 +4,20 @@
 import org.wingstall.core.admit.StageTimes;
 
 /** Calls a second endpoint when a call takes longer than a quantile of recent ones; never while nothing is measured. */
-final class HedgeAfterQuantile implements HedgePolicy {
-    private static final long LEAST_MS = 10;
+final class QuantileHedgePolicy implements HedgePolicy {
+    private static final long MIN_DELAY_MS = 10;
 
     private final double quantile;
 
-    HedgeAfterQuantile(double quantile) {
+    QuantileHedgePolicy(double quantile) {
         this.quantile = quantile;
     }
 
     @Override
     public OptionalLong delayMs(StageTimes times) {
-        if (!times.measured()) {
+        if (!times.hasEnoughSamples()) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(Math.max(LEAST_MS, (long) times.quantileMs(quantile)));
+        return OptionalLong.of(Math.max(MIN_DELAY_MS, (long) times.quantileMs(quantile)));
     }
 }
--- a/core/src/main/java/org/wingstall/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/wingstall/core/retry/RetryBudget.java
@@ -11,10 +11,10 @@
  */
 public final class RetryBudget {
     private static final long RETRY_COST = 1000;
-    private static final long MOST_RETRIES_SAVED = 50;
+    private static final long MAX_SAVED_RETRIES = 50;
 
     private final AtomicLong balance;
-    private final long mostBalance;
+    private final long maxBalance;
     private final long gainPerCall;
 
     /**
@@ -23,7 +23,7 @@
      * @param percent retries for a hundred calls
      */
     public RetryBudget(double percent) {
-        this(percent, MOST_RETRIES_SAVED);
+        this(percent, MAX_SAVED_RETRIES);
     }
 
     /**
@@ -35,17 +35,17 @@
      */
     public RetryBudget(double percent, double saved) {
         this.gainPerCall = Math.round(percent / 100 * RETRY_COST);
-        this.mostBalance = Math.round(Math.max(1, saved) * RETRY_COST);
+        this.maxBalance = Math.round(Math.max(1, saved) * RETRY_COST);
         this.balance = new AtomicLong(Math.round(saved * RETRY_COST));
     }
 
     /** Records a first call. */
-    public void called() {
-        balance.accumulateAndGet(gainPerCall, (now, gain) -> Math.min(now + gain, mostBalance));
+    public void recordCall() {
+        balance.accumulateAndGet(gainPerCall, (now, gain) -> Math.min(now + gain, maxBalance));
     }
 
     /** Returns whether the budget has a retry left. */
-    public boolean retryLeft() {
+    public boolean hasRetryLeft() {
         return balance.get() >= RETRY_COST;
     }
 
--- a/core/src/main/java/org/wingstall/core/retry/RetryRules.java
+++ b/core/src/main/java/org/wingstall/core/retry/RetryRules.java
@@ -3,18 +3,18 @@
 /**
  * Decides whether an attempt at a stage that gave no answer may be followed by another one.
  *
- * <p>{@code RetryRules.Decision next = RetryRules.decide(AttemptEnd.LOST, false, 1, budget);}
+ * <p>{@code RetryRules.Decision next = RetryRules.decide(AttemptOutcome.LOST, false, 1, budget);}
  *
  * @since 0.1
  */
 public final class RetryRules {
     /** Most attempts at one stage. */
-    public static final int MOST_ATTEMPTS = 4;
+    public static final int MAX_ATTEMPTS = 4;
 
     private RetryRules() {}
 
     /** How an attempt ended. */
-    public enum AttemptEnd {
+    public enum AttemptOutcome {
         /** No byte of the call was handed to the endpoint. */
         NOT_SENT("not-sent"),
         /** The endpoint answered that it refused the call before running it. */
@@ -30,7 +30,7 @@
 
         private final String code;
 
-        AttemptEnd(String code) {
+        AttemptOutcome(String code) {
             this.code = code;
         }
 
@@ -64,8 +64,8 @@
      * @param budget the service's budget; nothing is taken from it
      * @return whether a retry is left
      */
-    public static boolean retryLeft(int attempts, RetryBudget budget) {
-        return attempts < MOST_ATTEMPTS && budget.retryLeft();
+    public static boolean canRetry(int attempts, RetryBudget budget) {
+        return attempts < MAX_ATTEMPTS && budget.hasRetryLeft();
     }
 
     /**
@@ -77,11 +77,11 @@
      * @param budget the service's budget; a retry takes from it
      * @return what follows
      */
-    public static Decision decide(AttemptEnd end, boolean repeatable, int attempts, RetryBudget budget) {
+    public static Decision decide(AttemptOutcome end, boolean repeatable, int attempts, RetryBudget budget) {
         if (!repeatable && !end.certainlyNotRun()) {
-            return end == AttemptEnd.FAILED ? Decision.FAILED : Decision.UNKNOWN;
+            return end == AttemptOutcome.FAILED ? Decision.FAILED : Decision.UNKNOWN;
         }
-        if (attempts >= MOST_ATTEMPTS || !budget.tryRetry()) {
+        if (attempts >= MAX_ATTEMPTS || !budget.tryRetry()) {
             return Decision.EXHAUSTED;
         }
         return Decision.RETRY;
--- a/core/src/main/java/org/wingstall/core/route/EndpointState.java
+++ b/core/src/main/java/org/wingstall/core/route/EndpointState.java
@@ -13,18 +13,18 @@
  * @since 0.1
  */
 public final class EndpointState {
-    private static final double RUN_WEIGHT = 0.15;
+    private static final double RUN_TIME_SMOOTHING_FACTOR = 0.15;
     private static final double REPORT_HALF_LIFE_MS = 1000;
-    private static final int PREFIX_BLOCKS = 2048;
+    private static final int MAX_PREFIX_BLOCKS = 2048;
 
     private final EndpointIdentity identity;
     private final MonotonicClock clock;
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final AtomicInteger failuresInRow = new AtomicInteger();
+    private final AtomicInteger consecutiveFailures = new AtomicInteger();
     private final AtomicLong lastCompletionMs = new AtomicLong(Long.MIN_VALUE / 2);
-    private final AtomicLong lastSignMs = new AtomicLong(Long.MIN_VALUE / 2);
-    private final PrefixMemory prefixes = new PrefixMemory(PREFIX_BLOCKS);
-    private volatile double slotMs;
+    private final AtomicLong lastActivityMs = new AtomicLong(Long.MIN_VALUE / 2);
+    private final PrefixTracker prefixes = new PrefixTracker(MAX_PREFIX_BLOCKS);
+    private volatile double meanRunMs;
     private volatile Report report = new Report(0, 0, Long.MIN_VALUE / 2);
     private volatile boolean ejected;
     private volatile boolean leaving;
@@ -65,11 +65,11 @@
      */
     public boolean tryAcquire(int window) {
         while (true) {
-            int now = inFlight.get();
-            if (now >= window) {
+            int current = inFlight.get();
+            if (current >= window) {
                 return false;
             }
-            if (inFlight.compareAndSet(now, now + 1)) {
+            if (inFlight.compareAndSet(current, current + 1)) {
                 return true;
             }
         }
@@ -85,13 +85,13 @@
      *
      * @param runMs time from call to answer, in ms
      */
-    public void completed(double runMs) {
-        signOfLife();
-        failuresInRow.set(0);
+    public void recordSuccess(double runMs) {
+        recordActivity();
+        consecutiveFailures.set(0);
         lastCompletionMs.set(clock.nowMs());
         ejected = false;
-        double before = slotMs;
-        slotMs = before == 0 ? runMs : before + RUN_WEIGHT * (runMs - before);
+        double previousMs = meanRunMs;
+        meanRunMs = previousMs == 0 ? runMs : previousMs + RUN_TIME_SMOOTHING_FACTOR * (runMs - previousMs);
     }
 
     /**
@@ -100,27 +100,27 @@
      * @param ejectAfterFailures failures in a row after which the endpoint gets no work
      * @return whether this failure ejected the endpoint
      */
-    public boolean failed(int ejectAfterFailures) {
-        boolean eject = failuresInRow.incrementAndGet() >= ejectAfterFailures && !ejected;
+    public boolean recordFailure(int ejectAfterFailures) {
+        boolean eject = consecutiveFailures.incrementAndGet() >= ejectAfterFailures && !ejected;
         if (eject) {
             ejected = true;
         }
         return eject;
     }
 
-    /** Records a token, to whichever call; {@link #completed} does so for an answer. */
-    public void signOfLife() {
-        lastSignMs.set(clock.nowMs());
+    /** Records a token, to whichever call; {@link #recordSuccess} does so for an answer. */
+    public void recordActivity() {
+        lastActivityMs.set(clock.nowMs());
     }
 
     /** Returns the time since the last token or answer to any call of this gateway, in ms. */
-    public long signAgeMs() {
-        return clock.nowMs() - lastSignMs.get();
+    public long activityAgeMs() {
+        return clock.nowMs() - lastActivityMs.get();
     }
 
     /** Records a probe that ran; the endpoint gets work again. */
-    public void probeSucceeded() {
-        failuresInRow.set(0);
+    public void recordProbeSuccess() {
+        consecutiveFailures.set(0);
         ejected = false;
     }
 
@@ -129,7 +129,7 @@
      *
      * @param reportedInFlight calls there from all gateways
      */
-    public void reported(int reportedInFlight) {
+    public void recordReportedLoad(int reportedInFlight) {
         report = new Report(reportedInFlight, inFlight.get(), clock.nowMs());
     }
 
@@ -155,7 +155,7 @@
 
     /** Returns the mean time of a call there, in ms; 0 when none has been measured. */
     public double meanRunMs() {
-        return slotMs;
+        return meanRunMs;
     }
 
     /** Returns the age of the last answered call, in ms. */
@@ -177,7 +177,7 @@
     }
 
     /** Returns the memory of prompt prefixes sent there. */
-    public PrefixMemory prefixes() {
+    public PrefixTracker prefixes() {
         return prefixes;
     }
 }
--- a/core/src/main/java/org/wingstall/core/route/ExpectedTimeRouter.java
+++ b/core/src/main/java/org/wingstall/core/route/ExpectedTimeRouter.java
@@ -8,8 +8,8 @@
  * call, less the credit for the prompt blocks it has read beyond those that the least warm candidate has read.
  */
 final class ExpectedTimeRouter implements Router {
-    private static final double OTHER_DOMAIN_MS = 2;
-    private static final double JITTER = 0.02;
+    private static final double CROSS_DOMAIN_PENALTY_MS = 2;
+    private static final double JITTER_RATIO = 0.02;
 
     private final RandomGenerator random;
     private final boolean prefixAffinity;
@@ -24,12 +24,12 @@
     @Override
     public EndpointState choose(List<Candidate> candidates, RouteRequest request) {
         int[] warm = warmBlocks(candidates, request);
-        int coldest = least(warm);
+        int minWarm = min(warm);
         EndpointState best = null;
         double bestMs = Double.MAX_VALUE;
         for (int i = 0; i < candidates.size(); i++) {
-            double credit = (warm[i] - coldest) * blockMs;
-            double ms = expectedMs(candidates.get(i), request) - credit;
+            double cacheCreditMs = (warm[i] - minWarm) * blockMs;
+            double ms = expectedMs(candidates.get(i), request) - cacheCreditMs;
             if (best == null || ms < bestMs) {
                 best = candidates.get(i).endpoint();
                 bestMs = ms;
@@ -43,8 +43,9 @@
         double measured = endpoint.meanRunMs();
         double base = measured > 0 ? measured : request.expectedMs() / candidate.speed();
         double load = (endpoint.estimatedLoad() + 1) / candidate.slots();
-        double away = endpoint.identity().failureDomain().equals(request.failureDomain()) ? 0 : OTHER_DOMAIN_MS;
-        return base * (1 + load) * (1 + JITTER * random.nextDouble()) + away;
+        double crossDomainMs =
+                endpoint.identity().failureDomain().equals(request.failureDomain()) ? 0 : CROSS_DOMAIN_PENALTY_MS;
+        return base * (1 + load) * (1 + JITTER_RATIO * random.nextDouble()) + crossDomainMs;
     }
 
     private int[] warmBlocks(List<Candidate> candidates, RouteRequest request) {
@@ -53,12 +54,12 @@
             return warm;
         }
         for (int i = 0; i < warm.length; i++) {
-            warm[i] = candidates.get(i).endpoint().prefixes().warmBlocks(request.prefixDigests());
+            warm[i] = candidates.get(i).endpoint().prefixes().countWarmBlocks(request.prefixDigests());
         }
         return warm;
     }
 
-    private static int least(int[] counts) {
+    private static int min(int[] counts) {
         int least = Integer.MAX_VALUE;
         for (int count : counts) {
             least = Math.min(least, count);
--- a/core/src/main/java/org/wingstall/core/route/PrefixMemory.java
+++ b/core/src/main/java/org/wingstall/core/route/PrefixTracker.java
@@ -10,10 +10,10 @@
  *
  * @since 0.1
  */
-public final class PrefixMemory {
+public final class PrefixTracker {
     private final LinkedHashMap<Long, Boolean> blocks;
 
-    PrefixMemory(int capacity) {
+    PrefixTracker(int capacity) {
         this.blocks = new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
@@ -28,12 +28,12 @@
      * @param digests digests of the prompt's blocks, each over all blocks up to its own
      * @return number of leading blocks known
      */
-    public synchronized int warmBlocks(long[] digests) {
-        int warm = 0;
-        while (warm < digests.length && blocks.get(digests[warm]) != null) {
-            warm++;
+    public synchronized int countWarmBlocks(long[] digests) {
+        int count = 0;
+        while (count < digests.length && blocks.get(digests[count]) != null) {
+            count++;
         }
-        return warm;
+        return count;
     }
 
     /**
@@ -41,7 +41,7 @@
      *
      * @param digests digests of the prompt's blocks
      */
-    public synchronized void remember(long[] digests) {
+    public synchronized void recordSent(long[] digests) {
         for (long digest : digests) {
             blocks.put(digest, Boolean.TRUE);
         }
--- a/core/src/main/java/org/wingstall/core/route/PromptBlocks.java
+++ b/core/src/main/java/org/wingstall/core/route/PromptBlocks.java
@@ -15,7 +15,7 @@
     public static final int BLOCK_CHARS = 256;
 
     /** Most blocks that are told apart. */
-    public static final int MOST_BLOCKS = 64;
+    public static final int MAX_BLOCKS = 64;
 
     private PromptBlocks() {}
 
@@ -23,10 +23,10 @@
      * Returns the digests of a prompt's whole blocks.
      *
      * @param prompt text of the prompt
-     * @return one digest for each whole block, at most {@link #MOST_BLOCKS}
+     * @return one digest for each whole block, at most {@link #MAX_BLOCKS}
      */
     public static long[] digests(CharSequence prompt) {
-        int count = Math.min(MOST_BLOCKS, prompt.length() / BLOCK_CHARS);
+        int count = Math.min(MAX_BLOCKS, prompt.length() / BLOCK_CHARS);
         long[] digests = new long[count];
         HashStream64 stream = Hashing.komihash5_0().hashStream();
         for (int i = 0; i < count; i++) {
--- a/core/src/main/java/org/wingstall/core/time/Jitter.java
+++ b/core/src/main/java/org/wingstall/core/time/Jitter.java
@@ -8,7 +8,7 @@
  * @since 0.1
  */
 public final class Jitter {
-    private static final double SHARE = 0.1;
+    private static final double RATIO = 0.1;
 
     private Jitter() {}
 
@@ -20,6 +20,6 @@
      * @return between 90% and 110% of the interval, in ms
      */
     public static long around(long intervalMs, double random) {
-        return (long) (intervalMs * (1 + SHARE * (random * 2 - 1)));
+        return (long) (intervalMs * (1 + RATIO * (random * 2 - 1)));
     }
 }
--- a/core/src/test/java/org/wingstall/core/CoreIsPureTest.java
+++ b/core/src/test/java/org/wingstall/core/CoreDependenciesTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class CoreIsPureTest {
+public class CoreDependenciesTest {
     private final JavaClasses core = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("org.wingstall.core");
--- a/core/src/test/java/org/wingstall/core/config/ConfigStoreTest.java
+++ b/core/src/test/java/org/wingstall/core/config/ConfigStoreTest.java
@@ -99,8 +99,8 @@
     @Test(dataProvider = "brokenPipelines")
     public void aBrokenPipelineIsRefusedWithWhatIsValid(String yaml, String valid) throws InvalidDocumentException {
         JsonNode row = Json.readYaml(yaml);
-        InvalidRowException e =
-                expectThrows(InvalidRowException.class, () -> ConfigRows.read(ConfigKey.parse("pipeline/p"), row));
+        InvalidRowException e = expectThrows(
+                InvalidRowException.class, () -> ConfigRowValidator.validate(ConfigKey.parse("pipeline/p"), row));
         assertTrue(e.getMessage().endsWith("valid: " + valid), e.getMessage());
     }
 
@@ -109,6 +109,7 @@
         JsonNode one = Json.readYaml("{name: p, deadlineMs: 100, stages: [{name: a, service: s, kind: pool}]}");
         JsonNode two = Json.readYaml("{name: q, deadlineMs: 100, stages: [{name: a, service: s, kind: plain}]}");
         expectThrows(
-                InvalidRowException.class, () -> ConfigRows.checkAcross(Map.of("pipeline/p", one, "pipeline/q", two)));
+                InvalidRowException.class,
+                () -> ConfigRowValidator.validateConsistency(Map.of("pipeline/p", one, "pipeline/q", two)));
     }
 }
--- a/core/src/test/java/org/wingstall/core/estimate/LinearTrendTest.java
+++ b/core/src/test/java/org/wingstall/core/estimate/OnlineLinearRegressionTest.java
@@ -8,12 +8,12 @@
 import org.testng.annotations.Test;
 
 /** A trend starts from what is assumed and comes to go by what is seen. */
-public class LinearTrendTest {
+public class OnlineLinearRegressionTest {
     @Test
     public void theAssumptionHoldsUntilSomethingIsSeen() {
-        LinearTrend trend = new LinearTrend(60, 0.02, 4000);
-        assertEquals(trend.at(0), 60, 0.001);
-        assertEquals(trend.at(2000), 100, 0.001);
+        OnlineLinearRegression trend = new OnlineLinearRegression(60, 0.02, 4000);
+        assertEquals(trend.predict(0), 60, 0.001);
+        assertEquals(trend.predict(2000), 100, 0.001);
     }
 
     @DataProvider
@@ -23,33 +23,33 @@
 
     @Test(dataProvider = "engines")
     public void aHundredAnswersTeachBaseAndSlope(double base, double slope) {
-        LinearTrend trend = new LinearTrend(60, 0.02, 4000);
+        OnlineLinearRegression trend = new OnlineLinearRegression(60, 0.02, 4000);
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 300; i++) {
             double size = random.nextDouble(100, 9000);
-            trend.observed(size, (base + slope * size) * random.nextDouble(0.8, 1.2));
+            trend.observe(size, (base + slope * size) * random.nextDouble(0.8, 1.2));
         }
         double expected = base + slope * 3000;
-        assertEquals(trend.at(3000), expected, Math.max(3, 0.1 * expected));
+        assertEquals(trend.predict(3000), expected, Math.max(3, 0.1 * expected));
     }
 
     @Test
     public void oneStallMovesTheTrendByLessThanATenth() {
-        LinearTrend trend = new LinearTrend(60, 0.02, 4000);
+        OnlineLinearRegression trend = new OnlineLinearRegression(60, 0.02, 4000);
         for (int i = 0; i < 100; i++) {
-            trend.observed(i * 50, 60 + i);
+            trend.observe(i * 50, 60 + i);
         }
-        double before = trend.at(2500);
-        trend.observed(2500, 30_000);
-        assertTrue(trend.at(2500) < 1.1 * before, before + " then " + trend.at(2500));
+        double before = trend.predict(2500);
+        trend.observe(2500, 30_000);
+        assertTrue(trend.predict(2500) < 1.1 * before, before + " then " + trend.predict(2500));
     }
 
     @Test
     public void sizesThatAreAllTheSameTeachTheValueThere() {
-        LinearTrend trend = new LinearTrend(60, 0.02, 4000);
+        OnlineLinearRegression trend = new OnlineLinearRegression(60, 0.02, 4000);
         for (int i = 0; i < 500; i++) {
-            trend.observed(1000, 200);
+            trend.observe(1000, 200);
         }
-        assertEquals(trend.at(1000), 200, 5);
+        assertEquals(trend.predict(1000), 200, 5);
     }
 }
--- a/core/src/test/java/org/wingstall/core/lease/LeaseCandidateTest.java
+++ b/core/src/test/java/org/wingstall/core/lease/LeaseCandidateTest.java
@@ -27,7 +27,7 @@
     }
 
     private LeaseStep.Write taken(long version, LeaseRow row) {
-        LeaseStep step = candidate.next(version, row);
+        LeaseStep step = candidate.nextStep(version, row);
         assertTrue(step instanceof LeaseStep.Write, step.toString());
         return (LeaseStep.Write) step;
     }
@@ -39,10 +39,10 @@
 
     @Test
     public void anotherHoldersRowIsTakenOnlyAfterItsTimeAndTheGuardWithoutAChange() {
-        assertEquals(candidate.next(4, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
+        assertEquals(candidate.nextStep(4, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
         nowMs.addAndGet(DURATION_MS);
-        assertEquals(candidate.next(4, row("other", 7)), new LeaseStep.Wait(GUARD_MS));
-        assertEquals(candidate.next(5, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
+        assertEquals(candidate.nextStep(4, row("other", 7)), new LeaseStep.Wait(GUARD_MS));
+        assertEquals(candidate.nextStep(5, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
         nowMs.addAndGet(DURATION_MS + GUARD_MS);
         assertEquals(taken(5, row("other", 7)), new LeaseStep.Write(5, row("me", 8)));
     }
@@ -57,18 +57,18 @@
         LeaseStep.Write write = taken(0, null);
         long sentAtMs = nowMs.get();
         nowMs.addAndGet(300);
-        candidate.written(write, sentAtMs);
-        assertEquals(candidate.leftMs(), DURATION_MS - 300);
+        candidate.recordWritten(write, sentAtMs);
+        assertEquals(candidate.remainingMs(), DURATION_MS - 300);
         assertEquals(candidate.token(), 1);
         nowMs.set(sentAtMs + DURATION_MS);
         assertEquals(candidate.token(), 0);
-        assertEquals(candidate.leftMs(), 0);
+        assertEquals(candidate.remainingMs(), 0);
     }
 
     @Test
     public void aHolderThatSeesAnotherOneHasLostItsLeaseAtOnce() {
-        candidate.written(taken(0, null), nowMs.get());
-        candidate.next(2, row("other", 2));
+        candidate.recordWritten(taken(0, null), nowMs.get());
+        candidate.nextStep(2, row("other", 2));
         assertEquals(candidate.token(), 0);
     }
 
--- a/core/src/test/java/org/wingstall/core/limit/StatedLimitsTest.java
+++ b/core/src/test/java/org/wingstall/core/limit/AdvertisedLimitsTest.java
@@ -12,36 +12,36 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.peer.GossipNetwork;
+import org.wingstall.core.peer.SimulatedGossipNetwork;
 import org.wingstall.schema.peer.LimitNews;
 
 /** What boxes know of the requests that an endpoint takes. */
-public class StatedLimitsTest {
+public class AdvertisedLimitsTest {
     private static final int BOXES = 5;
     private static final int MOST_MESSAGES = 5000;
     private static final String ENGINE = "e1@1";
 
     private final List<Box> boxes = new ArrayList<>();
-    private GossipNetwork<LimitNews> network;
+    private SimulatedGossipNetwork<LimitNews> network;
     private long nowMs;
 
-    private final class Box implements StatedLimits.Listener {
+    private final class Box implements AdvertisedLimits.Listener {
         private final int number;
-        private final StatedLimits limits;
+        private final AdvertisedLimits limits;
 
         Box(int number) {
             this.number = number;
-            this.limits =
-                    new StatedLimits(GossipNetwork.nameOf(number), () -> TimeUnit.MILLISECONDS.toNanos(nowMs), this);
+            this.limits = new AdvertisedLimits(
+                    SimulatedGossipNetwork.nameOf(number), () -> TimeUnit.MILLISECONDS.toNanos(nowMs), this);
         }
 
         @Override
-        public void tell(LimitNews news, String exceptBox) {
-            network.tell(number, news, exceptBox);
+        public void broadcast(LimitNews news, String exceptBox) {
+            network.broadcast(number, news, exceptBox);
         }
 
         @Override
-        public void changed(StatedLimits.Limit limit) {}
+        public void changed(AdvertisedLimits.Limit limit) {}
 
         OptionalDouble rate() {
             return limits.requestsPerSecond(ENGINE);
@@ -52,9 +52,9 @@
     public void create() {
         nowMs = 100_000;
         boxes.clear();
-        network = new GossipNetwork<>(BOXES, MOST_MESSAGES, (box, fromBox, news) -> boxes.get(box)
+        network = new SimulatedGossipNetwork<>(BOXES, MOST_MESSAGES, (box, fromBox, news) -> boxes.get(box)
                 .limits
-                .heard(fromBox, news));
+                .receive(fromBox, news));
         for (int i = 0; i < BOXES; i++) {
             boxes.add(new Box(i));
         }
@@ -74,11 +74,11 @@
     public void newsComesToRestAtOneRateInWhateverOrderItArrives(int seed) {
         Random random = new Random(seed);
         for (int i = 0; i < 40; i++) {
-            StatedLimits limits = boxes.get(random.nextInt(BOXES)).limits;
+            AdvertisedLimits limits = boxes.get(random.nextInt(BOXES)).limits;
             if (random.nextInt(4) == 0) {
-                limits.notStated(ENGINE, nowMs - random.nextInt(300));
+                limits.notAdvertised(ENGINE, nowMs - random.nextInt(300));
             } else {
-                limits.stated(ENGINE, random.nextInt(5) / 2.0);
+                limits.advertised(ENGINE, random.nextInt(5) / 2.0);
             }
             nowMs += random.nextInt(700);
             network.deliver(random, random.nextInt(8));
@@ -91,45 +91,45 @@
 
     @Test
     public void aLowerRateHoldsAtOnceAndAHigherOneOnceTheLowerIsNotStatedAnyMore() {
-        StatedLimits limits = boxes.get(0).limits;
-        limits.stated(ENGINE, 4);
-        limits.stated(ENGINE, 1);
-        limits.stated(ENGINE, 3);
+        AdvertisedLimits limits = boxes.get(0).limits;
+        limits.advertised(ENGINE, 4);
+        limits.advertised(ENGINE, 1);
+        limits.advertised(ENGINE, 3);
         assertEquals(limits.requestsPerSecond(ENGINE), OptionalDouble.of(1));
         nowMs += 1001;
-        limits.stated(ENGINE, 3);
+        limits.advertised(ENGINE, 3);
         assertEquals(limits.requestsPerSecond(ENGINE), OptionalDouble.of(3));
     }
 
     @Test
     public void anUnreadableRateKeepsTheOneThatIsKnown() {
-        StatedLimits limits = boxes.get(0).limits;
-        limits.stated(ENGINE, 0.3);
-        limits.statedUnreadable(ENGINE);
+        AdvertisedLimits limits = boxes.get(0).limits;
+        limits.advertised(ENGINE, 0.3);
+        limits.advertisedUnreadable(ENGINE);
         assertEquals(limits.requestsPerSecond(ENGINE), OptionalDouble.of(0.3));
-        limits.statedUnreadable("e2@1");
-        assertTrue(limits.limited("e2@1"));
+        limits.advertisedUnreadable("e2@1");
+        assertTrue(limits.isLimited("e2@1"));
     }
 
     /** An answer that was under way since before the endpoint was in need says nothing of its need. */
     @Test
     public void anAnswerToAnEarlierRequestDoesNotEndALimit() {
-        StatedLimits limits = boxes.get(0).limits;
-        limits.stated(ENGINE, 1);
+        AdvertisedLimits limits = boxes.get(0).limits;
+        limits.advertised(ENGINE, 1);
         long sentMs = nowMs - 1;
         nowMs += 5000;
-        limits.notStated(ENGINE, sentMs);
-        assertTrue(limits.limited(ENGINE));
-        limits.notStated(ENGINE, nowMs);
-        assertFalse(limits.limited(ENGINE));
+        limits.notAdvertised(ENGINE, sentMs);
+        assertTrue(limits.isLimited(ENGINE));
+        limits.notAdvertised(ENGINE, nowMs);
+        assertFalse(limits.isLimited(ENGINE));
     }
 
     @Test
     public void anEndpointThatIsReleasedGetsMoreStepByStep() {
-        StatedLimits limits = boxes.get(0).limits;
-        limits.stated(ENGINE, 1);
+        AdvertisedLimits limits = boxes.get(0).limits;
+        limits.advertised(ENGINE, 1);
         nowMs += 2000;
-        limits.notStated(ENGINE, nowMs);
+        limits.notAdvertised(ENGINE, nowMs);
         assertEquals(limits.requestsPerSecond(ENGINE), OptionalDouble.of(1));
         nowMs += 3000;
         assertEquals(limits.requestsPerSecond(ENGINE), OptionalDouble.of(8));
@@ -139,10 +139,10 @@
 
     @Test
     public void aLimitThatNobodyStatesAnyMoreEnds() {
-        boxes.get(0).limits.stated(ENGINE, 1);
+        boxes.get(0).limits.advertised(ENGINE, 1);
         network.deliverAll(new Random(1));
         nowMs += 29_000;
-        assertTrue(boxes.stream().allMatch(box -> box.limits.limited(ENGINE)));
+        assertTrue(boxes.stream().allMatch(box -> box.limits.isLimited(ENGINE)));
         nowMs += 10_000;
         assertTrue(boxes.stream().allMatch(box -> box.rate().isEmpty()));
     }
@@ -152,10 +152,10 @@
     public void aLimitThatHoldsOnIsToldAgain() {
         Random random = new Random(1);
         for (int i = 0; i < 60; i++) {
-            boxes.get(0).limits.stated(ENGINE, 1);
+            boxes.get(0).limits.advertised(ENGINE, 1);
             network.deliverAll(random);
             nowMs += 1000;
-            assertTrue(boxes.stream().allMatch(box -> box.limits.limited(ENGINE)), "after " + i + " s");
+            assertTrue(boxes.stream().allMatch(box -> box.limits.isLimited(ENGINE)), "after " + i + " s");
         }
     }
 }
--- a/core/src/test/java/org/wingstall/core/limit/WorkspaceLimiterTest.java
+++ b/core/src/test/java/org/wingstall/core/limit/WorkspaceLimiterTest.java
@@ -54,7 +54,7 @@
     private WorkspaceLimiter limiter(int boxes, Map<String, Double> others) {
         WorkspaceLimiter limiter =
                 new WorkspaceLimiter(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), new RetryAfter(() -> 0.5));
-        limiter.fleet(boxes, boxes, others, 1000);
+        limiter.updateFleet(boxes, boxes, others, 1000);
         return limiter;
     }
 
--- a/core/src/test/java/org/wingstall/core/member/MemberChangesTest.java
+++ b/core/src/test/java/org/wingstall/core/member/MemberListDiffTest.java
@@ -11,7 +11,7 @@
 import org.wingstall.schema.peer.MemberNews;
 import org.wingstall.schema.platform.Member;
 
-public class MemberChangesTest {
+public class MemberListDiffTest {
     private static Member member(String id, long incarnation) {
         return new Member(id, Member.Kind.ENDPOINT, "d", "127.0.0.1:1", "s", "c", Member.State.LIVE, incarnation, 0, 0);
     }
@@ -35,19 +35,19 @@
     @Test(dataProvider = "changes")
     public void theChangeTurnsTheOlderListIntoTheNewer(
             String name, MemberSnapshot before, MemberSnapshot after, int changed, int removed) {
-        MemberNews news = MemberChanges.between(before, after, 0);
+        MemberNews news = MemberListDiff.between(before, after, 0);
         assertEquals(news.getChanged().size(), changed);
         assertEquals(news.getRemoved().size(), removed);
-        MemberSnapshot applied = MemberChanges.apply(before, news).orElseThrow();
+        MemberSnapshot applied = MemberListDiff.apply(before, news).orElseThrow();
         assertEquals(applied.tag(), after.tag());
         assertEquals(Set.copyOf(applied.members()), Set.copyOf(after.members()));
     }
 
     @Test
     public void aChangeOfAnotherListIsNotApplied() {
-        MemberNews news = MemberChanges.between(list("1"), list("2", member("a", 1)), 0);
-        assertEquals(MemberChanges.apply(list("3"), news), Optional.empty());
-        assertEquals(MemberChanges.apply(MemberSnapshot.NONE, news), Optional.empty());
+        MemberNews news = MemberListDiff.between(list("1"), list("2", member("a", 1)), 0);
+        assertEquals(MemberListDiff.apply(list("3"), news), Optional.empty());
+        assertEquals(MemberListDiff.apply(MemberSnapshot.NONE, news), Optional.empty());
     }
 
     @Test
--- a/core/src/test/java/org/wingstall/core/peer/BeatTurnsTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/HeartbeatThrottleTest.java
@@ -7,18 +7,18 @@
 import org.testng.annotations.Test;
 
 /** Hubs hear every box of a large fleet; those that do no work for others need not be heard at each turn. */
-public class BeatTurnsTest {
+public class HeartbeatThrottleTest {
     @DataProvider
     public Object[][] boxes() {
-        return new Object[][] {{true, 100}, {false, 100 / BeatTurns.SELDOM}};
+        return new Object[][] {{true, 100}, {false, 100 / HeartbeatThrottle.NON_HUB_INTERVAL_TICKS}};
     }
 
     @Test(dataProvider = "boxes")
     public void aBoxThatWorksForOthersIsHeardAtEachTurn(boolean worksForOthers, long heartbeats) {
-        BeatTurns turns = new BeatTurns();
+        HeartbeatThrottle turns = new HeartbeatThrottle();
         assertEquals(
                 IntStream.range(0, 100)
-                        .filter(turn -> turns.due(worksForOthers))
+                        .filter(turn -> turns.isDue(worksForOthers))
                         .count(),
                 heartbeats);
     }
--- a/core/src/test/java/org/wingstall/core/peer/HubLinksTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/HubLinksTest.java
@@ -41,7 +41,7 @@
             List<Box> others = new ArrayList<>(fleet);
             others.remove(box);
             Collections.shuffle(others, new Random(box.hashCode()));
-            Set<String> carriers = links.carriers(box, others);
+            Set<String> carriers = links.hubs(box, others);
             assertEquals(carriers.size(), 2 * domains);
             assertTrue(fleet.stream()
                     .filter(one -> carriers.contains(one.boxId()))
@@ -55,9 +55,9 @@
     public void anotherBoxTakesTheLostHubsPlace() {
         List<Box> fleet = fleet(3, 29);
         Box self = fleet.get(0);
-        Set<String> before = links.carriers(self, fleet);
+        Set<String> before = links.hubs(self, fleet);
         fleet.removeIf(box -> box.boxId().equals("box-1-28"));
-        Set<String> after = links.carriers(self, fleet);
+        Set<String> after = links.hubs(self, fleet);
         assertEquals(after.size(), before.size());
         assertTrue(before.contains("box-1-28") && !after.contains("box-1-28"));
     }
@@ -65,7 +65,7 @@
     @Test
     public void everyBoxOfASmallFleetCarriesAndIsLinked() {
         List<Box> fleet = fleet(3, 3);
-        assertEquals(links.carriers(fleet.get(0), fleet).size(), 9);
+        assertEquals(links.hubs(fleet.get(0), fleet).size(), 9);
         assertEquals(links.linksOf(fleet.get(0), fleet, fleet).size(), 8);
     }
 }
--- a/core/src/test/java/org/wingstall/core/peer/LinkPlanTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/LinkPlanTest.java
@@ -49,9 +49,9 @@
     @Test
     public void aLostBoxMovesOnlyWhatItHeld() {
         List<String> boxes = List.of("a", "b", "c", "d", "e");
-        String top = Rendezvous.top("claims", boxes, 1).get(0);
+        String top = RendezvousHash.top("claims", boxes, 1).get(0);
         List<String> without = boxes.stream().filter(b -> !b.equals("a")).toList();
-        String next = Rendezvous.top("claims", without, 1).get(0);
+        String next = RendezvousHash.top("claims", without, 1).get(0);
         assertTrue(top.equals("a") || top.equals(next));
     }
 
--- a/core/src/test/java/org/wingstall/core/peer/GossipNetwork.java
+++ b/core/src/test/java/org/wingstall/core/peer/SimulatedGossipNetwork.java
@@ -11,18 +11,18 @@
  *
  * @param <N> what is told
  */
-public final class GossipNetwork<N> {
+public final class SimulatedGossipNetwork<N> {
     private final int boxes;
-    private final int mostMessages;
+    private final int maxMessages;
     private final Receiver<N> receiver;
-    private final List<Message<N>> underWay = new ArrayList<>();
+    private final List<Message<N>> inTransit = new ArrayList<>();
 
     private record Message<N>(int from, int to, N news) {}
 
     /** Takes what a box is told. */
     public interface Receiver<N> {
         /** A box hears news from another one. */
-        void heard(int box, String fromBox, N news);
+        void receive(int box, String fromBox, N news);
     }
 
     /**
@@ -32,9 +32,9 @@
      * @param mostMessages messages within which news has to come to rest
      * @param receiver takes what is delivered
      */
-    public GossipNetwork(int boxes, int mostMessages, Receiver<N> receiver) {
+    public SimulatedGossipNetwork(int boxes, int maxMessages, Receiver<N> receiver) {
         this.boxes = boxes;
-        this.mostMessages = mostMessages;
+        this.maxMessages = maxMessages;
         this.receiver = receiver;
     }
 
@@ -44,30 +44,30 @@
     }
 
     /** Sends news from a box to all others but one; null for all. */
-    public void tell(int from, N news, String exceptBox) {
+    public void broadcast(int from, N news, String exceptBox) {
         for (int to = 0; to < boxes; to++) {
             if (to != from && !nameOf(to).equals(exceptBox)) {
-                underWay.add(new Message<>(from, to, news));
+                inTransit.add(new Message<>(from, to, news));
             }
         }
     }
 
     /** Delivers messages until none is under way. */
     public void deliverAll(Random random) {
-        assertTrue(deliver(random, mostMessages) < mostMessages, underWay.size() + " messages still under way");
+        assertTrue(deliver(random, maxMessages) < maxMessages, inTransit.size() + " messages still under way");
     }
 
     /** Delivers messages of random links; returns how many. */
-    public int deliver(Random random, int most) {
+    public int deliver(Random random, int maxMessages) {
         int delivered = 0;
-        while (delivered < most && !underWay.isEmpty()) {
-            Message<N> any = underWay.get(random.nextInt(underWay.size()));
-            Message<N> first = underWay.stream()
+        while (delivered < maxMessages && !inTransit.isEmpty()) {
+            Message<N> any = inTransit.get(random.nextInt(inTransit.size()));
+            Message<N> first = inTransit.stream()
                     .filter(message -> message.from() == any.from() && message.to() == any.to())
                     .findFirst()
                     .orElseThrow();
-            underWay.remove(first);
-            receiver.heard(first.to(), nameOf(first.from()), first.news());
+            inTransit.remove(first);
+            receiver.receive(first.to(), nameOf(first.from()), first.news());
             delivered++;
         }
         return delivered;
--- a/core/src/test/java/org/wingstall/core/quarantine/GossipTest.java
+++ b/core/src/test/java/org/wingstall/core/quarantine/GossipTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.peer.GossipNetwork;
+import org.wingstall.core.peer.SimulatedGossipNetwork;
 import org.wingstall.schema.peer.CrashNews;
 import org.wingstall.schema.peer.CrashReport;
 
@@ -26,7 +26,7 @@
     private static final int MOST_MESSAGES = 20_000;
 
     private final List<Box> boxes = new ArrayList<>();
-    private GossipNetwork<CrashNews> network;
+    private SimulatedGossipNetwork<CrashNews> network;
     private long nowMs = 1000;
 
     private final class Box implements Quarantine.Listener {
@@ -35,17 +35,17 @@
 
         Box(int number) {
             this.number = number;
-            this.quarantine =
-                    new Quarantine(GossipNetwork.nameOf(number), () -> TimeUnit.MILLISECONDS.toNanos(nowMs), this);
+            this.quarantine = new Quarantine(
+                    SimulatedGossipNetwork.nameOf(number), () -> TimeUnit.MILLISECONDS.toNanos(nowMs), this);
         }
 
         @Override
-        public void tell(CrashNews news, String exceptBox) {
-            network.tell(number, news, exceptBox);
+        public void broadcast(CrashNews news, String exceptBox) {
+            network.broadcast(number, news, exceptBox);
         }
 
         @Override
-        public void keep(CrashReport report) {}
+        public void persist(CrashReport report) {}
 
         @Override
         public void changed(CrashReport report, int standing) {}
@@ -63,26 +63,26 @@
     @Test(dataProvider = "seeds")
     public void newsComesToRestInWhateverOrderItArrives(int seed) {
         boxes.clear();
-        network = new GossipNetwork<>(BOXES, MOST_MESSAGES, (box, fromBox, news) -> boxes.get(box)
+        network = new SimulatedGossipNetwork<>(BOXES, MOST_MESSAGES, (box, fromBox, news) -> boxes.get(box)
                 .quarantine
-                .heard(fromBox, news));
+                .receive(fromBox, news));
         Random random = new Random(seed);
         for (int i = 0; i < BOXES; i++) {
             boxes.add(new Box(i));
         }
-        boxes.get(0).quarantine.lost(SUSPECT, "e1");
-        boxes.get(1).quarantine.lost(SUSPECT, "e2");
+        boxes.get(0).quarantine.endpointLost(SUSPECT, "e1");
+        boxes.get(1).quarantine.endpointLost(SUSPECT, "e2");
         network.deliverAll(random);
         for (int i = 0; i < 6; i++) {
             Quarantine sender = boxes.get(random.nextInt(BOXES)).quarantine;
             Optional<String> trial = sender.sent(() -> SUSPECT, "e" + (3 + i));
             network.deliver(random, random.nextInt(8));
-            trial.ifPresent(id -> sender.over(SUSPECT, id));
+            trial.ifPresent(id -> sender.endTrial(SUSPECT, id));
             network.deliver(random, random.nextInt(8));
         }
         network.deliverAll(random);
         for (Box box : boxes) {
-            assertEquals(box.quarantine.shunned(() -> Fingerprint.of("", "", "other", new byte[0])), Set.of());
+            assertEquals(box.quarantine.endpointsToAvoid(() -> Fingerprint.of("", "", "other", new byte[0])), Set.of());
         }
     }
 }
--- a/core/src/test/java/org/wingstall/core/quarantine/QuarantineTest.java
+++ b/core/src/test/java/org/wingstall/core/quarantine/QuarantineTest.java
@@ -51,16 +51,16 @@
         }
 
         @Override
-        public void tell(CrashNews news, String exceptBox) {
+        public void broadcast(CrashNews news, String exceptBox) {
             told.add(news);
             Box other = fleet.other(this);
             if (!fleet.cut && !other.name.equals(exceptBox)) {
-                other.quarantine.heard(name, news);
+                other.quarantine.receive(name, news);
             }
         }
 
         @Override
-        public void keep(CrashReport report) {
+        public void persist(CrashReport report) {
             kept.add(report);
         }
 
@@ -69,7 +69,7 @@
 
         void lost(Fingerprint request, String... endpoints) {
             for (String endpoint : endpoints) {
-                quarantine.lost(request, endpoint);
+                quarantine.endpointLost(request, endpoint);
             }
         }
 
@@ -78,7 +78,10 @@
         }
 
         Reason reason(Fingerprint request) {
-            return quarantine.hold(() -> request).map(Hold::reason).orElse(null);
+            return quarantine
+                    .refusal(() -> request)
+                    .map(QuarantineRefusal::reason)
+                    .orElse(null);
         }
 
         Optional<String> sent(Fingerprint request, String endpoint) {
@@ -157,7 +160,7 @@
         String trial = fleet.first.sent(CULPRIT, "e3").orElseThrow();
         assertEquals(fleet.second.reason(CULPRIT), Reason.SUSPECT_ON_TRIAL);
         assertEquals(fleet.first.reason(CULPRIT), Reason.SUSPECT_ON_TRIAL);
-        fleet.first.quarantine.over(CULPRIT, trial);
+        fleet.first.quarantine.endTrial(CULPRIT, trial);
         assertEquals(fleet.second.reason(CULPRIT), null);
     }
 
@@ -174,10 +177,10 @@
     public void othersStayAwayFromAnEndpointWithATrial() {
         fleet.first.lost(CULPRIT, "e1", "e2");
         String trial = fleet.first.sent(CULPRIT, "e3").orElseThrow();
-        assertEquals(fleet.second.quarantine.shunned(() -> POPULAR), Set.of("e3"));
-        assertEquals(fleet.second.quarantine.shunned(() -> CULPRIT), Set.of());
-        fleet.first.quarantine.over(CULPRIT, trial);
-        assertEquals(fleet.second.quarantine.shunned(() -> POPULAR), Set.of());
+        assertEquals(fleet.second.quarantine.endpointsToAvoid(() -> POPULAR), Set.of("e3"));
+        assertEquals(fleet.second.quarantine.endpointsToAvoid(() -> CULPRIT), Set.of());
+        fleet.first.quarantine.endTrial(CULPRIT, trial);
+        assertEquals(fleet.second.quarantine.endpointsToAvoid(() -> POPULAR), Set.of());
     }
 
     /** Whoever stood beside the culprit twice is tried apart from it: one of the two ends its endpoint alone. */
@@ -187,7 +190,7 @@
             fleet.first.lost(suspect, "e1", "e2");
         }
         fleet.first.sent(CULPRIT, "e3");
-        assertTrue(fleet.second.quarantine.shunned(() -> POPULAR).contains("e3"));
+        assertTrue(fleet.second.quarantine.endpointsToAvoid(() -> POPULAR).contains("e3"));
         fleet.second.sent(POPULAR, "e4");
         fleet.first.lost(CULPRIT, "e3");
         fleet.second.succeeded(POPULAR, "e4");
@@ -206,9 +209,9 @@
             fleet.first.lost(CULPRIT, "e" + i);
         }
         nowMs += heldMs - 1;
-        Optional<Hold> hold = fleet.second.quarantine.hold(() -> CULPRIT);
+        Optional<QuarantineRefusal> hold = fleet.second.quarantine.refusal(() -> CULPRIT);
         assertEquals(hold.orElseThrow().reason(), Reason.QUARANTINED);
-        assertEquals(hold.orElseThrow().againMs(), 1);
+        assertEquals(hold.orElseThrow().retryAfterMs(), 1);
         nowMs++;
         assertEquals(fleet.second.reason(CULPRIT), null);
         assertTrue(fleet.second.sent(CULPRIT, "e-trial").isPresent());
@@ -250,7 +253,7 @@
         fleet.second.lost(CULPRIT, "e3");
         assertEquals(fleet.second.reason(CULPRIT), null);
         fleet.cut = false;
-        fleet.first.quarantine.known().forEach(news -> fleet.second.quarantine.heard("first", news));
+        fleet.first.quarantine.snapshot().forEach(news -> fleet.second.quarantine.receive("first", news));
         assertEquals(fleet.first.reason(CULPRIT), Reason.QUARANTINED);
         assertEquals(fleet.second.reason(CULPRIT), Reason.QUARANTINED);
     }
@@ -262,7 +265,7 @@
         assertEquals(fleet.first.kept, List.of());
         fleet.first.lost(CULPRIT, "e3");
         assertEquals(fleet.first.kept.size(), 1);
-        fleet.first.kept.forEach(fleet.second.quarantine::read);
+        fleet.first.kept.forEach(fleet.second.quarantine::mergeStored);
         assertEquals(fleet.second.reason(CULPRIT), Reason.QUARANTINED);
         assertEquals(fleet.second.kept, List.of());
     }
@@ -273,10 +276,10 @@
         fleet.cut = true;
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         fleet.second.lost(CULPRIT, "e4", "e5", "e6");
-        fleet.first.quarantine.read(fleet.second.kept.get(0));
+        fleet.first.quarantine.mergeStored(fleet.second.kept.get(0));
         CrashReport anew = fleet.first.kept.get(1);
         assertEquals(Set.copyOf(anew.getLosses()), Set.of("e1", "e2", "e3", "e4", "e5", "e6"));
-        fleet.second.quarantine.read(anew);
+        fleet.second.quarantine.mergeStored(anew);
         assertEquals(fleet.second.kept.size(), 1);
     }
 
@@ -337,7 +340,7 @@
         List<CrashNews> shuffled = new ArrayList<>(fleet.first.told);
         shuffled.addAll(fleet.first.told);
         Collections.shuffle(shuffled, random);
-        shuffled.forEach(news -> fleet.second.quarantine.heard("first", news));
+        shuffled.forEach(news -> fleet.second.quarantine.receive("first", news));
         for (Fingerprint request : List.of(CULPRIT, POPULAR)) {
             assertEquals(fleet.second.reason(request), fleet.first.reason(request));
         }
--- a/core/src/test/java/org/wingstall/core/queue/PaceEstimateTest.java
+++ b/core/src/test/java/org/wingstall/core/queue/GrantIntervalEstimatorTest.java
@@ -7,27 +7,27 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class PaceEstimateTest {
+public class GrantIntervalEstimatorTest {
     private static final double BY_SLOTS_MS = 777;
 
     private final AtomicLong nowMs = new AtomicLong();
-    private PaceEstimate pace;
+    private GrantIntervalEstimator pace;
 
     @BeforeMethod
     public void create() {
-        pace = new PaceEstimate(() -> TimeUnit.MILLISECONDS.toNanos(nowMs.get()));
+        pace = new GrantIntervalEstimator(() -> TimeUnit.MILLISECONDS.toNanos(nowMs.get()));
     }
 
     private void serve(int precedence, int grants, long gapMs) {
         for (int i = 0; i < grants; i++) {
             nowMs.addAndGet(gapMs);
-            pace.granted(precedence);
+            pace.recordGranted(precedence);
         }
     }
 
     @Test
     public void theSlotsCountUntilSomethingWasMeasured() {
-        pace.waiting(3);
+        pace.recordWaiting(3);
         assertEquals(pace.waitMs(3, BY_SLOTS_MS), BY_SLOTS_MS);
         assertEquals(pace.waitMs(7, BY_SLOTS_MS), BY_SLOTS_MS);
     }
@@ -35,7 +35,7 @@
     @Test
     public void aNewWaiterWaitsForAllBeforeItAtTheMeasuredPace() {
         for (int i = 0; i < 20; i++) {
-            pace.waiting(3);
+            pace.recordWaiting(3);
         }
         serve(3, 10, 20);
         assertEquals(pace.waitMs(3, BY_SLOTS_MS), 11 * 20.0, 1e-6);
@@ -45,7 +45,7 @@
     @Test
     public void aStarvedPrecedenceIsToldToWaitLongerAndLonger() {
         for (int i = 0; i < 20; i++) {
-            pace.waiting(3);
+            pace.recordWaiting(3);
         }
         serve(3, 10, 20);
         double before = pace.waitMs(3, BY_SLOTS_MS);
@@ -55,12 +55,12 @@
 
     @Test
     public void theTimeInWhichNobodyWaitedIsNoGap() {
-        pace.waiting(3);
+        pace.recordWaiting(3);
         serve(3, 1, 20);
         nowMs.addAndGet(60_000);
-        pace.waiting(3);
+        pace.recordWaiting(3);
         serve(3, 1, 20);
-        pace.waiting(3);
+        pace.recordWaiting(3);
         assertEquals(pace.waitMs(3, BY_SLOTS_MS), 2 * 20.0, 1e-6);
     }
 }
--- a/core/src/test/java/org/wingstall/core/queue/WaitQueueTest.java
+++ b/core/src/test/java/org/wingstall/core/queue/WaitQueueTest.java
@@ -18,7 +18,7 @@
         Entry high = new Entry(7, "a", 1, 99);
         queue.add(low);
         queue.add(high);
-        assertEquals(queue.aheadOf(5), 1);
+        assertEquals(queue.countAhead(5), 1);
         assertEquals(queue.poll(), high);
         assertEquals(queue.poll(), low);
         assertNull(queue.poll());
--- a/core/src/test/java/org/wingstall/core/retry/HedgePolicyTest.java
+++ b/core/src/test/java/org/wingstall/core/retry/HedgePolicyTest.java
@@ -20,7 +20,7 @@
     @DataProvider
     Object[][] policiesWithoutSecondCalls() {
         return new Object[][] {
-            {"switched off", new NoHedge(), times(100)}, {"nothing measured", new HedgeAfterQuantile(0.95), times(3)},
+            {"switched off", new NoHedge(), times(100)}, {"nothing measured", new QuantileHedgePolicy(0.95), times(3)},
         };
     }
 
@@ -31,8 +31,8 @@
 
     @Test
     public void theSecondCallComesAfterTheQuantileOfRecentTimes() {
-        long usualMs = new HedgeAfterQuantile(0.5).delayMs(times(100)).orElseThrow();
-        long lateMs = new HedgeAfterQuantile(0.95).delayMs(times(100)).orElseThrow();
+        long usualMs = new QuantileHedgePolicy(0.5).delayMs(times(100)).orElseThrow();
+        long lateMs = new QuantileHedgePolicy(0.95).delayMs(times(100)).orElseThrow();
         assertTrue(usualMs >= 40 && usualMs < 60, "after " + usualMs + " ms");
         assertTrue(lateMs >= 400 && lateMs < 600, "after " + lateMs + " ms");
     }
--- a/core/src/test/java/org/wingstall/core/retry/RetryRulesTest.java
+++ b/core/src/test/java/org/wingstall/core/retry/RetryRulesTest.java
@@ -6,25 +6,26 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.retry.RetryRules.AttemptEnd;
+import org.wingstall.core.retry.RetryRules.AttemptOutcome;
 import org.wingstall.core.retry.RetryRules.Decision;
 
 public class RetryRulesTest {
     @DataProvider
     Object[][] ends() {
         return new Object[][] {
-            {AttemptEnd.NOT_SENT, false, Decision.RETRY}, {AttemptEnd.REFUSED_UNRUN, false, Decision.RETRY},
-            {AttemptEnd.FAILED, false, Decision.FAILED}, {AttemptEnd.LOST, false, Decision.UNKNOWN},
-            {AttemptEnd.TIMED_OUT, false, Decision.UNKNOWN}, {AttemptEnd.MISMATCHED, false, Decision.UNKNOWN},
-            {AttemptEnd.LOST, true, Decision.RETRY}, {AttemptEnd.FAILED, true, Decision.RETRY},
-            {AttemptEnd.TIMED_OUT, true, Decision.RETRY}, {AttemptEnd.MISMATCHED, true, Decision.RETRY},
+            {AttemptOutcome.NOT_SENT, false, Decision.RETRY}, {AttemptOutcome.REFUSED_UNRUN, false, Decision.RETRY},
+            {AttemptOutcome.FAILED, false, Decision.FAILED}, {AttemptOutcome.LOST, false, Decision.UNKNOWN},
+            {AttemptOutcome.TIMED_OUT, false, Decision.UNKNOWN}, {AttemptOutcome.MISMATCHED, false, Decision.UNKNOWN},
+            {AttemptOutcome.LOST, true, Decision.RETRY}, {AttemptOutcome.FAILED, true, Decision.RETRY},
+            {AttemptOutcome.TIMED_OUT, true, Decision.RETRY}, {AttemptOutcome.MISMATCHED, true, Decision.RETRY},
         };
     }
 
     @Test(dataProvider = "ends")
-    public void onlyWhatCertainlyDidNotRunOrMayRepeatIsRetried(AttemptEnd end, boolean repeatable, Decision expected) {
+    public void onlyWhatCertainlyDidNotRunOrMayRepeatIsRetried(
+            AttemptOutcome end, boolean repeatable, Decision expected) {
         assertEquals(RetryRules.decide(end, repeatable, 1, new RetryBudget(20)), expected);
-        Decision last = RetryRules.decide(end, repeatable, RetryRules.MOST_ATTEMPTS, new RetryBudget(20));
+        Decision last = RetryRules.decide(end, repeatable, RetryRules.MAX_ATTEMPTS, new RetryBudget(20));
         assertEquals(last, expected == Decision.RETRY ? Decision.EXHAUSTED : expected);
     }
 
@@ -35,7 +36,7 @@
             // Uses up what a fresh budget allows.
         }
         for (int i = 0; i < 10; i++) {
-            budget.called();
+            budget.recordCall();
         }
         assertTrue(budget.tryRetry());
         assertFalse(budget.tryRetry());
--- a/core/src/test/java/org/wingstall/core/route/RouterTest.java
+++ b/core/src/test/java/org/wingstall/core/route/RouterTest.java
@@ -31,8 +31,8 @@
     public void expectedTimePrefersTheFasterOfTwoIdleEndpoints() {
         EndpointState slow = endpoint("slow");
         EndpointState fast = endpoint("fast");
-        slow.completed(90);
-        fast.completed(30);
+        slow.recordSuccess(90);
+        fast.recordSuccess(30);
         Router router = expectedTime();
         assertEquals(router.choose(List.of(candidate(slow), candidate(fast)), new RouteRequest("d", 50, NONE)), fast);
     }
@@ -42,10 +42,10 @@
         String prompt = "shared ".repeat(200);
         EndpointState busy = endpoint("busy");
         EndpointState idle = endpoint("idle");
-        busy.completed(40);
-        idle.completed(40);
-        busy.prefixes().remember(PromptBlocks.digests(prompt));
-        idle.prefixes().remember(PromptBlocks.digests(prompt));
+        busy.recordSuccess(40);
+        idle.recordSuccess(40);
+        busy.prefixes().recordSent(PromptBlocks.digests(prompt));
+        idle.prefixes().recordSent(PromptBlocks.digests(prompt));
         assertTrue(busy.tryAcquire(8));
         RouteRequest request = new RouteRequest("d", 40, PromptBlocks.digests(prompt));
         assertEquals(expectedTime().choose(List.of(candidate(busy), candidate(idle)), request), idle);
@@ -56,9 +56,9 @@
         String prompt = "session seven ".repeat(400);
         EndpointState warm = endpoint("warm");
         EndpointState cold = endpoint("cold");
-        warm.completed(40);
-        cold.completed(40);
-        warm.prefixes().remember(PromptBlocks.digests(prompt));
+        warm.recordSuccess(40);
+        cold.recordSuccess(40);
+        warm.prefixes().recordSent(PromptBlocks.digests(prompt));
         assertTrue(warm.tryAcquire(8));
         RouteRequest request = new RouteRequest("d", 40, PromptBlocks.digests(prompt));
         assertEquals(expectedTime().choose(List.of(candidate(warm), candidate(cold)), request), warm);
@@ -67,7 +67,7 @@
     @Test
     public void reportedLoadOfOthersDecaysWithItsAge() {
         EndpointState state = endpoint("e");
-        state.reported(8);
+        state.recordReportedLoad(8);
         assertEquals(state.estimatedLoad(), 8.0, 0.01);
         nowMs += 2000;
         assertEquals(state.estimatedLoad(), 2.0, 0.01);
@@ -76,10 +76,10 @@
     @Test
     public void failuresInARowEjectAndARealCompletionBringsBack() {
         EndpointState state = endpoint("e");
-        assertFalse(state.failed(2));
-        assertTrue(state.failed(2));
+        assertFalse(state.recordFailure(2));
+        assertTrue(state.recordFailure(2));
         assertFalse(state.serving());
-        state.completed(5);
+        state.recordSuccess(5);
         assertTrue(state.serving());
     }
 
--- a/ctl/src/main/java/org/wingstall/ctl/ConfigCheck.java
+++ b/ctl/src/main/java/org/wingstall/ctl/ConfigCheck.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import org.wingstall.core.config.ConfigRows;
+import org.wingstall.core.config.ConfigRowValidator;
 import org.wingstall.core.config.InvalidRowException;
 import org.wingstall.schema.check.InvalidDocumentException;
 import org.wingstall.schema.check.Json;
@@ -36,7 +36,7 @@
         for (Edit edit : ImportFile.read(file)) {
             rows.put(edit.key().toString(), ((Edit.Row) edit).value());
         }
-        ConfigRows.checkAcross(rows);
+        ConfigRowValidator.validateConsistency(rows);
         out.println("valid rows: " + rows.size());
     }
 }
--- a/ctl/src/main/java/org/wingstall/ctl/ImportFile.java
+++ b/ctl/src/main/java/org/wingstall/ctl/ImportFile.java
@@ -14,7 +14,7 @@
 import java.util.Iterator;
 import java.util.List;
 import org.wingstall.core.config.ConfigKey;
-import org.wingstall.core.config.ConfigRows;
+import org.wingstall.core.config.ConfigRowValidator;
 import org.wingstall.core.config.InvalidRowException;
 import org.wingstall.schema.check.InvalidDocumentException;
 import org.wingstall.schema.check.Json;
@@ -32,7 +32,7 @@
             String kind = kinds.next();
             for (JsonNode row : tree.get(kind)) {
                 ConfigKey key = ConfigKey.parse(kind + "/" + row.path("name").asText());
-                ConfigRows.read(key, row);
+                ConfigRowValidator.validate(key, row);
                 edits.add(new Edit.Row(key, row));
             }
         }
--- a/gateway/src/main/java/org/wingstall/gateway/Gateway.java
+++ b/gateway/src/main/java/org/wingstall/gateway/Gateway.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.wingstall.core.admit.Admissions;
+import org.wingstall.core.admit.AdmissionPolicies;
 import org.wingstall.core.answer.RetryAfter;
 import org.wingstall.core.config.ConfigStore;
 import org.wingstall.core.limit.WorkspaceLimiter;
@@ -194,7 +194,7 @@
                 client,
                 gates,
                 new StageTimesTable(),
-                Admissions.of(settings.getPolicy()),
+                AdmissionPolicies.of(settings.getPolicy()),
                 new RetryBudgets(settings.getPolicy().getRetryBudgetPercent()),
                 HedgePolicy.of(settings.getPolicy()),
                 new RetryBudgets(settings.getPolicy().getHedgeBudgetPercent()),
--- a/gateway/src/main/java/org/wingstall/gateway/GatewayState.java
+++ b/gateway/src/main/java/org/wingstall/gateway/GatewayState.java
@@ -60,7 +60,7 @@
         if (config.current().revision() == 0) {
             return Optional.of("no-configuration: neither the platform nor a peer has given one");
         }
-        if (!registry.known()) {
+        if (!registry.hasMemberList()) {
             return Optional.of("no-membership-list: neither the platform nor a peer has given one");
         }
         return Optional.empty();
@@ -74,11 +74,11 @@
     public void checkTakesCallers() throws RefusedException {
         if (refusing) {
             throw new RefusedException(
-                    Reason.STOPPING, "a planned stop has begun", retryAfter.spreadMs(NOT_READY_RETRY_MS));
+                    Reason.STOPPING, "a planned stop has begun", retryAfter.jitteredMs(NOT_READY_RETRY_MS));
         }
         Optional<String> missing = missing();
         if (missing.isPresent()) {
-            throw new RefusedException(Reason.NOT_READY, missing.get(), retryAfter.spreadMs(NOT_READY_RETRY_MS));
+            throw new RefusedException(Reason.NOT_READY, missing.get(), retryAfter.jitteredMs(NOT_READY_RETRY_MS));
         }
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/api/CallerApi.java
+++ b/gateway/src/main/java/org/wingstall/gateway/api/CallerApi.java
@@ -200,7 +200,7 @@
                 };
         parts.metrics().refused(reason);
         boolean comeBack = reason == Reason.TOO_MANY_CONNECTIONS;
-        long retryAfterMs = comeBack ? parts.retryAfter().spreadMs(1000) : 0;
+        long retryAfterMs = comeBack ? parts.retryAfter().jitteredMs(1000) : 0;
         String requestId = idPrefix + "." + Long.toString(lastId.incrementAndGet(), Character.MAX_RADIX);
         return Json.write(refusedAnswer(requestId, reason, "the request was not taken in", retryAfterMs));
     }
--- a/gateway/src/main/java/org/wingstall/gateway/claim/ClaimAcquisition.java
+++ b/gateway/src/main/java/org/wingstall/gateway/claim/ClaimAcquisition.java
@@ -88,7 +88,7 @@
         } else if (decision instanceof ClaimDecision.Repeat repeat) {
             recorded(repeat.row());
         } else if (decision instanceof ClaimDecision.Held held) {
-            refuseHeld(held.leftMs());
+            refuseHeld(held.remainingMs());
         } else {
             outcome.complete(
                     new ClaimOutcome.Refused(Reason.KEY_REUSED, "the idempotency key was used for another body", 0));
@@ -100,7 +100,7 @@
                 ? new ClaimOutcome.Refused(
                         Reason.CLAIM_HELD,
                         "another attempt is running",
-                        parts.retryAfter().spreadMs(leftMs / 2))
+                        parts.retryAfter().jitteredMs(leftMs / 2))
                 : new ClaimOutcome.Refused(
                         Reason.CLAIM_UNFINISHED, "an earlier attempt may have run and recorded no answer", 0);
         outcome.complete(refused);
@@ -131,7 +131,7 @@
     private ClaimOutcome unreadable() {
         String detail = "the request ran; its recorded answer can't be read now";
         return new ClaimOutcome.Refused(
-                Reason.ANSWER_UNREADABLE, detail, parts.retryAfter().spreadMs(ClaimKeeper.OUTAGE_RETRY_AFTER_MS));
+                Reason.ANSWER_UNREADABLE, detail, parts.retryAfter().jitteredMs(ClaimKeeper.OUTAGE_RETRY_AFTER_MS));
     }
 
     private void giveUp() {
--- a/gateway/src/main/java/org/wingstall/gateway/claim/ClaimKeeper.java
+++ b/gateway/src/main/java/org/wingstall/gateway/claim/ClaimKeeper.java
@@ -42,7 +42,7 @@
             Metrics metrics) {
         ClaimOutcome tableUnavailable(String detail) {
             return new ClaimOutcome.Refused(
-                    Reason.TABLE_UNAVAILABLE, detail, retryAfter.spreadMs(OUTAGE_RETRY_AFTER_MS));
+                    Reason.TABLE_UNAVAILABLE, detail, retryAfter.jitteredMs(OUTAGE_RETRY_AFTER_MS));
         }
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/claim/ClaimSettlements.java
+++ b/gateway/src/main/java/org/wingstall/gateway/claim/ClaimSettlements.java
@@ -136,7 +136,7 @@
     /** Waits longer the more is pending, so that an outage's end brings no wave. */
     private void retryLater(Runnable action) {
         long spreadMs = RETRY_MS + 2L * pending.get();
-        parts.loop().schedule(action, parts.retryAfter().spreadMs(spreadMs), TimeUnit.MILLISECONDS);
+        parts.loop().schedule(action, parts.retryAfter().jitteredMs(spreadMs), TimeUnit.MILLISECONDS);
     }
 
     private boolean takePending() {
--- a/gateway/src/main/java/org/wingstall/gateway/control/ControlHost.java
+++ b/gateway/src/main/java/org/wingstall/gateway/control/ControlHost.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.wingstall.core.config.ConfigStore;
-import org.wingstall.core.limit.DemandSums;
+import org.wingstall.core.limit.DemandTotals;
 import org.wingstall.core.limit.WorkspaceLimiter;
 import org.wingstall.core.member.EndpointRegistry;
 import org.wingstall.core.member.MemberSnapshot;
@@ -92,7 +92,7 @@
 
     @Override
     public boolean starting() {
-        return revision() == 0 || !registry.known();
+        return revision() == 0 || !registry.hasMemberList();
     }
 
     @Override
@@ -117,7 +117,7 @@
     }
 
     private void updateLimits() {
-        DemandSums others = new DemandSums();
+        DemandTotals others = new DemandTotals();
         int heard = 1;
         for (PeerState peer : mesh.peers().all()) {
             boolean inDomain = mesh.peers().inOwnDomain(peer);
@@ -130,7 +130,7 @@
             heard += domain.getBoxes();
             others.add(domain.getDemand());
         }
-        limiter.fleet(mesh.knownBoxes(), heard, others.perSecond(), mesh.fullHeartbeatMs());
+        limiter.updateFleet(mesh.knownBoxes(), heard, others.perSecond(), mesh.fullHeartbeatMs());
     }
 
     @Override
--- a/gateway/src/main/java/org/wingstall/gateway/control/MemberFollower.java
+++ b/gateway/src/main/java/org/wingstall/gateway/control/MemberFollower.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.wingstall.core.member.MemberChanges;
+import org.wingstall.core.member.MemberListDiff;
 import org.wingstall.core.member.MemberSnapshot;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.gateway.Metrics;
@@ -99,7 +99,7 @@
 
     /** Takes in a change that a peer read; one made for another list shows by the peer's next heartbeat. */
     void newsFromPeer(MemberNews news) {
-        Optional<MemberSnapshot> next = MemberChanges.apply(last, news);
+        Optional<MemberSnapshot> next = MemberListDiff.apply(last, news);
         next.ifPresent(after -> take(after, ListSource.PEER));
     }
 
@@ -131,7 +131,7 @@
         }
         take(read, ListSource.PLATFORM);
         if (before.shortTag() != 0) {
-            readers.tell(MemberChanges.between(before, read, 0));
+            readers.tell(MemberListDiff.between(before, read, 0));
         }
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/control/Prober.java
+++ b/gateway/src/main/java/org/wingstall/gateway/control/Prober.java
@@ -105,7 +105,7 @@
                 : OutgoingRequest.get(endpoint.address(), "/healthz");
         client.call(loop, request.fresh(), policy.getProbeTimeoutMs()).thenAccept(reply -> {
             if (reply.ok()) {
-                endpoint.probeSucceeded();
+                endpoint.recordProbeSuccess();
                 LogEvent.info("endpoint-recovered")
                         .with("endpoint", endpoint.identity().memberId())
                         .to(LOG);
--- a/gateway/src/main/java/org/wingstall/gateway/crash/CrashReports.java
+++ b/gateway/src/main/java/org/wingstall/gateway/crash/CrashReports.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void tell(CrashNews news, String exceptBox) {
+    public void broadcast(CrashNews news, String exceptBox) {
         if (loop.inEventLoop()) {
             links.tell(news, exceptBox);
         } else {
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void keep(CrashReport report) {
+    public void persist(CrashReport report) {
         keeper.accept(report);
     }
 
@@ -103,11 +103,11 @@
 
     @Override
     public void heard(String boxId, CrashNews news) {
-        quarantine.heard(boxId, news);
+        quarantine.receive(boxId, news);
     }
 
     @Override
     public List<CrashNews> known() {
-        return quarantine.known();
+        return quarantine.snapshot();
     }
 }
--- a/gateway/src/main/java/org/wingstall/gateway/engine/EngineOrderGiver.java
+++ b/gateway/src/main/java/org/wingstall/gateway/engine/EngineOrderGiver.java
@@ -10,8 +10,8 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.wingstall.core.config.ConfigStore;
+import org.wingstall.core.engine.EngineOrderPlanner;
 import org.wingstall.core.engine.EngineView;
-import org.wingstall.core.engine.OrderPlan;
 import org.wingstall.core.lease.LeaseCandidate;
 import org.wingstall.core.member.EndpointRegistry;
 import org.wingstall.core.route.EndpointState;
@@ -54,7 +54,7 @@
 
     private final Parts parts;
     private final LeaseKeeper lease;
-    private final OrderPlan plan = new OrderPlan(ASKS_AT_ONCE, CALM_MS);
+    private final EngineOrderPlanner plan = new EngineOrderPlanner(ASKS_AT_ONCE, CALM_MS);
     private final Map<String, EngineView> views = new HashMap<>();
     private long viewsToken;
     private volatile OrderStatus status = new OrderStatus(false, 0, 0, List.of());
@@ -146,9 +146,10 @@
             Map<String, EndpointState> engines = enginesOf(row.getName());
             List<EngineView> known = new ArrayList<>();
             engines.values().forEach(engine -> known.add(view(engine)));
-            plan.toAsk(row, known, parts.clock().nowMs()).forEach(view -> ask(engines.get(view.memberId()), token));
-            plan.toOrder(row, known, view -> engines.get(view.memberId()).inFlight())
-                    .forEach(view -> order(engines.get(view.memberId()), OrderPlan.target(row), token));
+            plan.enginesToQuery(row, known, parts.clock().nowMs())
+                    .forEach(view -> ask(engines.get(view.memberId()), token));
+            plan.enginesToOrder(row, known, view -> engines.get(view.memberId()).inFlight())
+                    .forEach(view -> order(engines.get(view.memberId()), EngineOrderPlanner.target(row), token));
         }
     }
 
@@ -196,7 +197,7 @@
             return;
         }
         long sentAtMs = parts.clock().nowMs();
-        views.computeIfPresent(engine.identity().memberId(), (id, view) -> view.ordered(sentAtMs));
+        views.computeIfPresent(engine.identity().memberId(), (id, view) -> view.withOrderSent(sentAtMs));
         parts.client()
                 .call(parts.loop(), request, parts.settings().getCallTimeoutMs())
                 .whenCompleteAsync((reply, failure) -> ordered(engine, token, sentAtMs, reply, failure), parts.loop());
@@ -230,7 +231,7 @@
             EngineState state = Json.read(reply.body(), EngineState.class);
             views.computeIfPresent(
                     engine.identity().memberId(),
-                    (id, view) -> view.heard(state, sentAtMs, parts.clock().nowMs()));
+                    (id, view) -> view.withState(state, sentAtMs, parts.clock().nowMs()));
         } catch (InvalidDocumentException e) {
             LogEvent.warn("engine-state-unreadable")
                     .with("engine", engine.identity().memberId())
@@ -259,9 +260,9 @@
         EngineStatus.State shown = EngineStatus.State.PENDING;
         if (state == null) {
             shown = EngineStatus.State.UNKNOWN;
-        } else if (view.maybeLoading()) {
+        } else if (view.mayBeLoading()) {
             shown = EngineStatus.State.LOADING;
-        } else if (view.reached(OrderPlan.target(row))) {
+        } else if (view.hasReached(EngineOrderPlanner.target(row))) {
             shown = EngineStatus.State.REACHED;
         }
         return new EngineStatus(
--- a/gateway/src/main/java/org/wingstall/gateway/engine/LeaseKeeper.java
+++ b/gateway/src/main/java/org/wingstall/gateway/engine/LeaseKeeper.java
@@ -37,16 +37,16 @@
 
     /** Returns the token under which an order that takes up to this long may be given now; 0 when none may. */
     long tokenFor(long callTimeoutMs) {
-        return candidate.leftMs() >= callTimeoutMs ? candidate.token() : 0;
+        return candidate.remainingMs() >= callTimeoutMs ? candidate.token() : 0;
     }
 
     long leftMs() {
-        return candidate.leftMs();
+        return candidate.remainingMs();
     }
 
     /** Records that an engine has seen a higher token. */
     void superseded() {
-        candidate.drop();
+        candidate.invalidate();
     }
 
     /** Reads the row and does what is due, unless that is under way or was done a moment ago. */
@@ -71,7 +71,7 @@
     /** Returns what is due, or null when the row can't be read. */
     private LeaseStep stepAfter(TableRow row) {
         try {
-            return candidate.next(row.getVersion(), leaseOf(row));
+            return candidate.nextStep(row.getVersion(), leaseOf(row));
         } catch (InvalidDocumentException e) {
             LogEvent.warn("lease-row-unreadable").cause(e).to(LOG);
             return null;
@@ -92,7 +92,7 @@
     private void written(LeaseStep.Write write, long sentAtMs, TransactionResult result, Throwable failure) {
         busy = false;
         if (failure == null && result.isCommitted()) {
-            candidate.written(write, sentAtMs);
+            candidate.recordWritten(write, sentAtMs);
             if (write.row().getToken() != lastToken) {
                 lastToken = write.row().getToken();
                 LogEvent.info("lease-taken")
@@ -101,7 +101,7 @@
                         .to(LOG);
             }
         } else if (failure == null) {
-            candidate.drop();
+            candidate.invalidate();
         }
     }
 
@@ -110,8 +110,8 @@
         if (candidate.token() == 0) {
             return;
         }
-        LeaseRow released = candidate.released();
-        candidate.drop();
+        LeaseRow released = candidate.releasedRow();
+        candidate.invalidate();
         notBeforeMs = Long.MAX_VALUE;
         table.read(key).thenAcceptAsync(row -> giveBack(row, released), loop);
     }
--- a/gateway/src/main/java/org/wingstall/gateway/limit/LimitExchange.java
+++ b/gateway/src/main/java/org/wingstall/gateway/limit/LimitExchange.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.wingstall.core.limit.StatedLimits;
+import org.wingstall.core.limit.AdvertisedLimits;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.peer.NewsHost;
@@ -13,19 +13,19 @@
 /**
  * Exchanges with other boxes how many requests endpoints take, and logs what changes. Confined to the mesh's event loop.
  *
- * <p>{@code StatedLimits limits = LimitExchange.over("kgn-a-1", mesh.limits(), clock);}
+ * <p>{@code AdvertisedLimits limits = LimitExchange.over("kgn-a-1", mesh.limits(), clock);}
  *
  * @since 0.9
  */
-public final class LimitExchange implements StatedLimits.Listener, NewsHost<LimitNews> {
+public final class LimitExchange implements AdvertisedLimits.Listener, NewsHost<LimitNews> {
     private static final Logger LOG = LogManager.getLogger(LimitExchange.class);
 
     private final NewsLinks<LimitNews> links;
-    private final StatedLimits limits;
+    private final AdvertisedLimits limits;
 
     private LimitExchange(String boxId, NewsLinks<LimitNews> links, MonotonicClock clock) {
         this.links = links;
-        this.limits = new StatedLimits(boxId, clock, this);
+        this.limits = new AdvertisedLimits(boxId, clock, this);
     }
 
     /**
@@ -35,19 +35,19 @@
      * @param links links to other boxes
      * @param clock monotonic clock
      */
-    public static StatedLimits over(String boxId, NewsLinks<LimitNews> links, MonotonicClock clock) {
+    public static AdvertisedLimits over(String boxId, NewsLinks<LimitNews> links, MonotonicClock clock) {
         LimitExchange exchange = new LimitExchange(boxId, links, clock);
         links.attach(exchange);
         return exchange.limits;
     }
 
     @Override
-    public void tell(LimitNews news, String exceptBox) {
+    public void broadcast(LimitNews news, String exceptBox) {
         links.tell(news, exceptBox);
     }
 
     @Override
-    public void changed(StatedLimits.Limit limit) {
+    public void changed(AdvertisedLimits.Limit limit) {
         boolean cleared = Double.isInfinite(limit.requestsPerSecond());
         LogEvent.info(cleared ? "endpoint-limit-cleared" : "endpoint-limit")
                 .with("endpoint", limit.endpoint())
@@ -58,11 +58,11 @@
 
     @Override
     public void heard(String boxId, LimitNews news) {
-        limits.heard(boxId, news);
+        limits.receive(boxId, news);
     }
 
     @Override
     public List<LimitNews> known() {
-        return limits.known();
+        return limits.snapshot();
     }
 }
--- a/gateway/src/main/java/org/wingstall/gateway/relay/KnownFleet.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/KnownFleet.java
@@ -11,7 +11,7 @@
 import org.wingstall.relay.endpoint.Fleet;
 
 /** Says what a box knows of its fleet where requests to an endpoint are divided. Confined to the mesh's event loop. */
-final class KnownFleet implements Fleet.View {
+final class KnownFleet implements Fleet.Provider {
     private final String self;
     private final String failureDomain;
     private final PeerMesh mesh;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public Fleet now() {
+    public Fleet snapshot() {
         List<LinkPlan.Box> boxes = mesh.boxes();
         Set<String> domains = new HashSet<>();
         int inDomain = 0;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public boolean settled() {
+    public boolean discoveryComplete() {
         return settled.getAsBoolean();
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/relay/OperatorHandler.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/OperatorHandler.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.wingstall.core.limit.StatedLimits;
+import org.wingstall.core.limit.AdvertisedLimits;
 import org.wingstall.core.quarantine.Fingerprint;
 import org.wingstall.core.quarantine.Quarantine;
 import org.wingstall.net.http.HttpCall;
@@ -26,9 +26,9 @@
 
     private final Supplier<String> metrics;
     private final Quarantine quarantine;
-    private final StatedLimits limits;
+    private final AdvertisedLimits limits;
 
-    OperatorHandler(Supplier<String> metrics, Quarantine quarantine, StatedLimits limits) {
+    OperatorHandler(Supplier<String> metrics, Quarantine quarantine, AdvertisedLimits limits) {
         this.limits = limits;
         this.metrics = metrics;
         this.quarantine = quarantine;
@@ -37,7 +37,7 @@
     @Override
     public void handle(HttpCall call) {
         switch (call.path()) {
-            case "/limits" -> call.respondJson(OK, limits.all());
+            case "/limits" -> call.respondJson(OK, limits.activeLimits());
             case "/quarantine" -> call.respondJson(OK, quarantine.reports());
             case "/quarantine/lift" -> lift(call);
             default ->
--- a/gateway/src/main/java/org/wingstall/gateway/relay/RelayGateway.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/RelayGateway.java
@@ -31,24 +31,24 @@
 import org.wingstall.relay.config.ServiceSpec;
 import org.wingstall.relay.control.EvacuationState;
 import org.wingstall.relay.control.ListFollower;
-import org.wingstall.relay.control.RelayPeers;
+import org.wingstall.relay.control.RelayPeerHost;
 import org.wingstall.relay.control.RelayState;
 import org.wingstall.relay.endpoint.EndpointReports;
 import org.wingstall.relay.endpoint.LeastLoaded;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.endpoint.SilenceWatch;
-import org.wingstall.relay.engine.EngineBroker;
+import org.wingstall.relay.engine.EngineSelector;
 import org.wingstall.relay.log.RelayMetrics;
 import org.wingstall.relay.log.RequestLog;
-import org.wingstall.relay.pool.PieceGathering;
-import org.wingstall.relay.pool.PoolParts;
+import org.wingstall.relay.pool.CoordinatorSelector;
+import org.wingstall.relay.pool.PoolContext;
 import org.wingstall.relay.pool.PoolPolicies;
-import org.wingstall.relay.pool.RendezvousGathering;
+import org.wingstall.relay.pool.RendezvousCoordinatorSelector;
 import org.wingstall.relay.pool.StagePools;
+import org.wingstall.relay.run.RelayContext;
 import org.wingstall.relay.run.RelayHandler;
-import org.wingstall.relay.run.RelayParts;
-import org.wingstall.relay.run.ServiceBudgets;
-import org.wingstall.relay.wire.EndpointWire;
+import org.wingstall.relay.run.ServiceRetryBudgets;
+import org.wingstall.relay.wire.EndpointProtocol;
 import org.wingstall.schema.settings.RelaySettings;
 
 /**
@@ -92,13 +92,13 @@
     private final EvacuationState evacuations = new EvacuationState(this::evacuate);
     private final RelayEndpoints endpoints = new RelayEndpoints(clock);
     private final RelayMetrics metrics = new RelayMetrics();
-    private final ServiceBudgets budgets;
+    private final ServiceRetryBudgets budgets;
     private final PeerMesh mesh;
     private final StagePools pools;
     private final RequestLimits limits;
     private final SilenceWatch silence;
     private final CrashReports crashes;
-    private final EngineBroker engines;
+    private final EngineSelector engines;
     private final RelayHandler handler;
     private final StoreFollowers store;
     private final HttpServer callers;
@@ -122,16 +122,16 @@
         this.settings = settings;
         this.requests = requests;
         EventLoop loop = requests.next();
-        EndpointWire wire = new PlatformEndpointWire();
-        this.budgets = new ServiceBudgets(budgetPart(settings, LEAST_BOXES));
+        EndpointProtocol wire = new PlatformEndpointWire();
+        this.budgets = new ServiceRetryBudgets(budgetPart(settings, LEAST_BOXES));
         this.mesh = new PeerMesh(
                 PeerSettings.of(settings),
-                new RelayPeers(state, evacuations, () -> stopping, this::newerConfigHeard, this::listFollower),
+                new RelayPeerHost(state, evacuations, () -> stopping, this::newerConfigHeard, this::listFollower),
                 loop,
                 clock);
         this.crashes =
                 CrashReports.over(settings.getBoxId(), mesh.crashes(), loop, clock, report -> store().keep(report));
-        PieceGathering gathering = new RendezvousGathering(
+        CoordinatorSelector gathering = new RendezvousCoordinatorSelector(
                 settings.getBoxId(), () -> mesh.peers().serving(), mesh.pieces()::linked, mesh::carries);
         this.limits = new RequestLimits(
                 () -> this.settings, loop, clock, state, mesh, gathering, () -> store().boxesSettled(), metrics);
@@ -140,7 +140,7 @@
         mesh.pieces().attach(pools);
         this.silence = silenceWatch(loop, reports);
         silence.start();
-        this.engines = new EngineBroker(
+        this.engines = new EngineSelector(
                 loop,
                 clock,
                 mesh.engines(),
@@ -148,7 +148,7 @@
                 endpoints,
                 service -> state.config().service(service).flatMap(ServiceSpec::engine),
                 limits.sends(),
-                engine -> silence.doubt(engine, () -> {}),
+                engine -> silence.checkSuspect(engine, () -> {}),
                 limits.answers()::limited,
                 metrics);
         mesh.attach(engines);
@@ -163,15 +163,15 @@
                 endpoints,
                 mesh,
                 () -> loop.execute(this::endpointsChanged),
-                crashes.quarantine()::read,
-                boxes -> budgets.change(budgetPart(this.settings, boxes)));
+                crashes.quarantine()::mergeStored,
+                boxes -> budgets.update(budgetPart(this.settings, boxes)));
         this.callers = new HttpServer(listener, this::limits, handler, this::rejected);
     }
 
     private StagePools stagePools(
-            EventLoop loop, EndpointWire wire, EndpointReports reports, PieceGathering gathering) {
+            EventLoop loop, EndpointProtocol wire, EndpointReports reports, CoordinatorSelector gathering) {
         return new StagePools(
-                new PoolParts(
+                new PoolContext(
                         loop,
                         clock,
                         client,
@@ -195,8 +195,8 @@
                         .doubtfulDomains());
     }
 
-    private RelayParts requestParts(EventLoop loop, EndpointWire wire) {
-        return new RelayParts(
+    private RelayContext requestParts(EventLoop loop, EndpointProtocol wire) {
+        return new RelayContext(
                 loop,
                 clock,
                 random,
@@ -210,7 +210,7 @@
                 Regions.parse(settings.getRegions()),
                 limits.sends(),
                 limits.answers(),
-                silence::doubt,
+                silence::checkSuspect,
                 new LeastLoaded(settings.getFailureDomain(), random),
                 budgets,
                 crashes.quarantine(),
@@ -234,7 +234,7 @@
 
     private void endpointsChanged() {
         limits.endpointsChanged(endpoints);
-        pools.offerAll();
+        pools.dispatchAll();
         engines.endpointsChanged();
     }
 
@@ -251,7 +251,7 @@
     }
 
     private boolean known() {
-        return state.config().known() && endpoints.known();
+        return state.config().known() && endpoints.listLoaded();
     }
 
     /**
@@ -299,7 +299,8 @@
 
     private HttpLimits limits() {
         ClientLimits limits = state.config().limits();
-        return new HttpLimits(limits.bodyBytes(), MOST_CONNECTIONS, limits.headerMs(), limits.idleMs());
+        return new HttpLimits(
+                limits.maxBodyBytes(), MOST_CONNECTIONS, limits.headerTimeoutMs(), limits.idleTimeoutMs());
     }
 
     private byte[] rejected(Rejection rejection) {
@@ -319,7 +320,7 @@
      */
     public void reload(RelaySettings next) {
         settings = next;
-        budgets.change(budgetPart(next, mesh.knownBoxes()));
+        budgets.update(budgetPart(next, mesh.knownBoxes()));
         LogEvent.info("settings-reloaded")
                 .with("retryBudgetRatio", next.getRetryBudgetRatio())
                 .with("retryBudgetExtra", next.getRetryBudgetExtra())
@@ -327,8 +328,8 @@
                 .to(LOG);
     }
 
-    private static ServiceBudgets.Part budgetPart(RelaySettings settings, int boxes) {
-        return new ServiceBudgets.Part(
+    private static ServiceRetryBudgets.FleetBudget budgetPart(RelaySettings settings, int boxes) {
+        return new ServiceRetryBudgets.FleetBudget(
                 settings.getRetryBudgetRatio(), settings.getRetryBudgetExtra(), Math.max(LEAST_BOXES, boxes));
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/relay/RelayGauges.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/RelayGauges.java
@@ -1,6 +1,6 @@
 package org.wingstall.gateway.relay;
 
-import org.wingstall.core.limit.StatedLimits;
+import org.wingstall.core.limit.AdvertisedLimits;
 import org.wingstall.gateway.crash.CrashReports;
 import org.wingstall.net.http.HttpServer;
 import org.wingstall.peer.PeerMesh;
@@ -36,9 +36,9 @@
     }
 
     /** Shows what it shares with other boxes. */
-    void ofFleet(PeerMesh mesh, CrashReports crashes, StatedLimits limits) {
-        metrics.gauge("wingstall.endpoints.limited", () -> limits.all().size());
+    void ofFleet(PeerMesh mesh, CrashReports crashes, AdvertisedLimits limits) {
+        metrics.gauge("wingstall.endpoints.limited", () -> limits.activeLimits().size());
         metrics.gauge("wingstall.peers.heard", () -> mesh.peers().serving().size());
-        metrics.gauge("wingstall.requests.held.back", () -> crashes.quarantine().heldBack());
+        metrics.gauge("wingstall.requests.held.back", () -> crashes.quarantine().quarantinedCount());
     }
 }
--- a/gateway/src/main/java/org/wingstall/gateway/relay/RequestLimits.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/RequestLimits.java
@@ -5,25 +5,25 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.wingstall.core.limit.StatedLimits;
+import org.wingstall.core.limit.AdvertisedLimits;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.gateway.limit.LimitExchange;
 import org.wingstall.peer.PeerMesh;
 import org.wingstall.relay.config.ServiceSpec;
 import org.wingstall.relay.control.RelayState;
-import org.wingstall.relay.endpoint.FixedColdShares;
-import org.wingstall.relay.endpoint.LimitReader;
+import org.wingstall.relay.endpoint.AdvertisedLimitReader;
+import org.wingstall.relay.endpoint.EqualColdStartShares;
 import org.wingstall.relay.endpoint.RelayEndpoint;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.endpoint.SendLimits;
 import org.wingstall.relay.log.RelayMetrics;
-import org.wingstall.relay.pool.PieceGathering;
+import org.wingstall.relay.pool.CoordinatorSelector;
 import org.wingstall.schema.settings.RelaySettings;
 
 /** What a gateway knows of the requests that endpoints take, and what keeps it to that. Confined to the request loop. */
 final class RequestLimits {
-    private final StatedLimits stated;
-    private final LimitReader answers;
+    private final AdvertisedLimits stated;
+    private final AdvertisedLimitReader answers;
     private final SendLimits sends;
 
     /**
@@ -44,37 +44,37 @@
             MonotonicClock clock,
             RelayState state,
             PeerMesh mesh,
-            PieceGathering gathering,
+            CoordinatorSelector gathering,
             BooleanSupplier settled,
             RelayMetrics metrics) {
         RelaySettings atStart = settings.get();
         this.stated = LimitExchange.over(atStart.getBoxId(), mesh.limits(), clock);
-        this.answers = new LimitReader(stated);
+        this.answers = new AdvertisedLimitReader(stated);
         KnownFleet fleet = new KnownFleet(
                 atStart.getBoxId(),
                 atStart.getFailureDomain(),
                 mesh,
                 settled,
-                service -> gathering.gathererOf(service) == null);
+                service -> gathering.coordinatorOf(service) == null);
         this.sends = SendLimits.builder(clock, fleet)
-                .cold(
-                        service -> state.config().service(service).flatMap(ServiceSpec::cold),
+                .limitColdStarts(
+                        service -> state.config().service(service).flatMap(ServiceSpec::coldStart),
                         () -> coldOverrun(settings.get()),
-                        new FixedColdShares())
-                .stated(stated)
+                        new EqualColdStartShares())
+                .limitAdvertised(stated)
                 .build(metrics);
         sends.start(loop);
     }
 
-    private static SendLimits.ColdOverrun coldOverrun(RelaySettings settings) {
-        return new SendLimits.ColdOverrun(settings.getColdOverrun(), settings.getColdTolerance());
+    private static SendLimits.ColdStartBurst coldOverrun(RelaySettings settings) {
+        return new SendLimits.ColdStartBurst(settings.getColdOverrun(), settings.getColdTolerance());
     }
 
-    StatedLimits stated() {
+    AdvertisedLimits stated() {
         return stated;
     }
 
-    LimitReader answers() {
+    AdvertisedLimitReader answers() {
         return answers;
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/relay/StoreFollowers.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/StoreFollowers.java
@@ -22,8 +22,8 @@
 import org.wingstall.relay.control.CrashReportFollower;
 import org.wingstall.relay.control.EvacuationState;
 import org.wingstall.relay.control.ListFollower;
-import org.wingstall.relay.control.OneReaderPerDomain;
-import org.wingstall.relay.control.ReadingDuty;
+import org.wingstall.relay.control.OneReaderPerDomainPolicy;
+import org.wingstall.relay.control.ReadPolicy;
 import org.wingstall.relay.control.RelayConfigFollower;
 import org.wingstall.relay.control.RelayState;
 import org.wingstall.relay.endpoint.RelayEndpoints;
@@ -57,7 +57,7 @@
     private final PeerMesh mesh;
     private final IntConsumer boxesKnown;
     private final RelayConfigFollower configFollower;
-    private final ReadingDuty duty;
+    private final ReadPolicy duty;
     private final ListFollower listFollower;
     private final BoxFollower boxes;
     private final CrashReportFollower crashReports;
@@ -96,10 +96,10 @@
                 client,
                 control,
                 Addresses.parse(settings.getStoreAddress()),
-                () -> state.config().known() && endpoints.known() ? ANSWER_MS : FIRST_ANSWER_MS);
+                () -> state.config().known() && endpoints.listLoaded() ? ANSWER_MS : FIRST_ANSWER_MS);
         this.configFollower = new RelayConfigFollower(
                 control, new PlatformConfigSource(store, this::configWaitMs), state, evacuations);
-        this.duty = new OneReaderPerDomain(settings.getBoxId(), this::heardPeers, mesh::carries);
+        this.duty = new OneReaderPerDomainPolicy(settings.getBoxId(), this::heardPeers, mesh::carries);
         this.listFollower = new ListFollower(
                 control,
                 new PlatformEndpointSource(store),
@@ -114,7 +114,7 @@
                     }
 
                     @Override
-                    public void tell(MemberNews news) {
+                    public void announce(MemberNews news) {
                         mesh.tellAll(news);
                     }
                 });
@@ -138,12 +138,12 @@
 
     /** Returns whether this box has had time to learn of all others. */
     boolean boxesSettled() {
-        return boxes.settled();
+        return boxes.initialReadsDone();
     }
 
     /** Keeps a report of a request that crashes endpoints. */
     void keep(CrashReport report) {
-        crashReports.keep(report);
+        crashReports.save(report);
     }
 
     /** Returns how the list is followed, for heartbeats. */
@@ -153,7 +153,7 @@
 
     /** Records a version of the configuration that a peer has. */
     void newerConfigHeard(long version) {
-        configFollower.newerHeard(version);
+        configFollower.onNewerVersion(version);
     }
 
     /** A read that fails once leaves time for another before the bound. */
@@ -169,14 +169,14 @@
 
     /** Returns whether this box is told what the boxes know that read the store for its failure domain and others. */
     private boolean told() {
-        return !duty.mine();
+        return !duty.shouldRead();
     }
 
-    private List<OneReaderPerDomain.Peer> heardPeers() {
+    private List<OneReaderPerDomainPolicy.Peer> heardPeers() {
         PeerTable peers = mesh.peers();
         return peers.all().stream()
                 .filter(peer -> peers.heard(peer) && !peer.stopping())
-                .map(peer -> new OneReaderPerDomain.Peer(
+                .map(peer -> new OneReaderPerDomainPolicy.Peer(
                         peer.hello().getBoxId(), peers.inOwnDomain(peer), peer.listTag() != 0, peer.tableUnheard()))
                 .toList();
     }
--- a/gateway/src/main/java/org/wingstall/gateway/run/EndpointJudge.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/EndpointJudge.java
@@ -1,7 +1,7 @@
 package org.wingstall.gateway.run;
 
 import org.wingstall.core.retry.AttemptTimeouts;
-import org.wingstall.core.retry.RetryRules.AttemptEnd;
+import org.wingstall.core.retry.RetryRules.AttemptOutcome;
 import org.wingstall.core.route.EndpointState;
 
 /** Counts failures of a service's endpoints towards their ejection; a slow endpoint is not a failing one. */
@@ -15,23 +15,23 @@
     }
 
     /** Judges by an attempt without answer; an endpoint that answers other calls meanwhile is slow, not silent. */
-    void ended(StageAttempt attempt, AttemptEnd end) {
-        boolean slow = end == AttemptEnd.TIMED_OUT && attempt.endpoint().signAgeMs() < attempt.ranMs();
-        if (end != AttemptEnd.REFUSED_UNRUN && !slow) {
+    void ended(StageAttempt attempt, AttemptOutcome end) {
+        boolean slow = end == AttemptOutcome.TIMED_OUT && attempt.endpoint().activityAgeMs() < attempt.ranMs();
+        if (end != AttemptOutcome.REFUSED_UNRUN && !slow) {
             countFailure(attempt.endpoint());
         }
     }
 
     /** Judges by an attempt that made no progress in time and goes on, since there is nowhere else to try it. */
     void kept(StageAttempt attempt) {
-        long silentMs = Math.min(attempt.ranMs(), attempt.endpoint().signAgeMs());
-        if (silentMs >= AttemptTimeouts.SILENT_MS) {
+        long silentMs = Math.min(attempt.ranMs(), attempt.endpoint().activityAgeMs());
+        if (silentMs >= AttemptTimeouts.UNRESPONSIVE_AFTER_MS) {
             countFailure(attempt.endpoint());
         }
     }
 
     private void countFailure(EndpointState endpoint) {
-        if (endpoint.failed(parts.settings().getPolicy().getEjectAfterFailures())) {
+        if (endpoint.recordFailure(parts.settings().getPolicy().getEjectAfterFailures())) {
             parts.metrics().ejected();
             gate.drain();
         }
--- a/gateway/src/main/java/org/wingstall/gateway/run/RequestRun.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/RequestRun.java
@@ -58,9 +58,9 @@
         double waitMs = expectedWaitMs();
         double quantile = parts.settings().getPolicy().getAdmissionQuantile();
         double stagesMs = parts.times().estimateMs(context.pipeline(), 0, quantile);
-        if (!parts.admission().canLand(remainingMs(), stagesMs, waitMs)) {
+        if (!parts.admission().canMeetDeadline(remainingMs(), stagesMs, waitMs)) {
             String detail = "needs about " + Math.round(stagesMs + waitMs) + " ms of " + remainingMs() + " ms";
-            end(Reason.DEADLINE_UNREACHABLE, detail, parts.retryAfter().spreadMs((long) waitMs));
+            end(Reason.DEADLINE_UNREACHABLE, detail, parts.retryAfter().jitteredMs((long) waitMs));
         } else if (context.needsClaim()) {
             acquireClaim();
         } else {
@@ -202,7 +202,7 @@
             return;
         }
         boolean nothingRan = handedOver == 0;
-        long soonMs = parts.retryAfter().spreadMs(RETRY_SOON_MS);
+        long soonMs = parts.retryAfter().jitteredMs(RETRY_SOON_MS);
         switch (end) {
             case NO_ENDPOINT -> end(nothingRan ? Reason.NO_ENDPOINT : Reason.NO_ENDPOINT_LATER, detail, soonMs);
             case QUARANTINED ->
@@ -234,7 +234,7 @@
             return;
         }
         String detail = "the deadline of " + (context.deadlineMs() - context.arrivedMs()) + " ms passed";
-        long soonMs = parts.retryAfter().spreadMs(RETRY_SOON_MS);
+        long soonMs = parts.retryAfter().jitteredMs(RETRY_SOON_MS);
         end(handedOver == 0 ? Reason.DEADLINE_PASSED_WAITING : Reason.DEADLINE_PASSED_RUNNING, detail, soonMs);
     }
 
--- a/gateway/src/main/java/org/wingstall/gateway/run/RunParts.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/RunParts.java
@@ -1,6 +1,6 @@
 package org.wingstall.gateway.run;
 
-import org.wingstall.core.admit.Admission;
+import org.wingstall.core.admit.AdmissionPolicy;
 import org.wingstall.core.answer.RetryAfter;
 import org.wingstall.core.quarantine.Quarantine;
 import org.wingstall.core.retry.HedgePolicy;
@@ -37,7 +37,7 @@
         HttpClient client,
         ServiceGates gates,
         StageTimesTable times,
-        Admission admission,
+        AdmissionPolicy admission,
         RetryBudgets budgets,
         HedgePolicy hedging,
         RetryBudgets hedgeBudgets,
--- a/gateway/src/main/java/org/wingstall/gateway/run/ServiceGate.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/ServiceGate.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import org.wingstall.core.queue.WaitEstimate;
+import org.wingstall.core.queue.WaitEstimator;
 import org.wingstall.core.queue.WaitQueue;
 import org.wingstall.core.route.Candidate;
 import org.wingstall.core.route.EndpointState;
@@ -20,7 +20,7 @@
     private final String failureDomain;
     private final boolean spillover;
     private final WaitQueue<StageWaiter> queue;
-    private final WaitEstimate estimate;
+    private final WaitEstimator estimate;
     private volatile int waiting;
     private boolean draining;
 
@@ -30,7 +30,7 @@
             String failureDomain,
             boolean spillover,
             WaitQueue<StageWaiter> queue,
-            WaitEstimate estimate) {
+            WaitEstimator estimate) {
         this.candidates = candidates;
         this.router = router;
         this.failureDomain = failureDomain;
@@ -46,7 +46,7 @@
         }
         synchronized (queue) {
             queue.add(waiter);
-            estimate.waiting(waiter.precedence());
+            estimate.recordWaiting(waiter.precedence());
             waiting = queue.size();
         }
         drain();
@@ -62,7 +62,7 @@
         synchronized (queue) {
             boolean removed = queue.remove(waiter);
             if (removed) {
-                estimate.gaveUp(waiter.precedence());
+                estimate.recordAbandoned(waiter.precedence());
             }
             waiting = queue.size();
             return removed;
@@ -93,7 +93,7 @@
         while (queue.size() > 0 && anyFreeSlot()) {
             StageWaiter next = queue.poll();
             if (serve(next)) {
-                estimate.granted(next.precedence());
+                estimate.recordGranted(next.precedence());
             } else {
                 unserved.add(next);
             }
@@ -109,7 +109,7 @@
         }
         int slots = Math.max(1, slots());
         synchronized (queue) {
-            double bySlotsMs = (queue.aheadOf(precedence) + 1) * callMs / slots;
+            double bySlotsMs = (queue.countAhead(precedence) + 1) * callMs / slots;
             return estimate.waitMs(precedence, bySlotsMs);
         }
     }
--- a/gateway/src/main/java/org/wingstall/gateway/run/ServiceGates.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/ServiceGates.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.wingstall.core.config.ConfigStore;
 import org.wingstall.core.member.EndpointRegistry;
-import org.wingstall.core.queue.WaitEstimate;
+import org.wingstall.core.queue.WaitEstimator;
 import org.wingstall.core.queue.WaitQueue;
 import org.wingstall.core.route.Candidate;
 import org.wingstall.core.route.EndpointState;
@@ -90,7 +90,7 @@
                 failureDomain,
                 policy.isSpillover(),
                 WaitQueue.of(policy),
-                WaitEstimate.of(policy, clock));
+                WaitEstimator.of(policy, clock));
     }
 
     private List<Candidate> candidatesOf(String service) {
