--- a/gateway/src/main/java/org/wingstall/gateway/run/StageAttempt.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/StageAttempt.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import org.wingstall.core.retry.AttemptTimeouts;
-import org.wingstall.core.retry.RetryRules.AttemptEnd;
+import org.wingstall.core.retry.RetryRules.AttemptOutcome;
 import org.wingstall.core.route.EndpointState;
 import org.wingstall.net.http.EventReader;
 import org.wingstall.net.http.HttpExchange;
@@ -62,7 +62,7 @@
         void connectionEnded(StageAttempt attempt);
 
         /** There is no answer. */
-        void ended(StageAttempt attempt, AttemptEnd end, String detail);
+        void ended(StageAttempt attempt, AttemptOutcome end, String detail);
 
         /** Returns the time allowed until the first sign of an answer, in ms. */
         long firstProgressMs();
@@ -150,10 +150,10 @@
     @Override
     public void complete() {
         if (status != OK) {
-            AttemptEnd kind = refusedUnrun ? AttemptEnd.REFUSED_UNRUN : AttemptEnd.FAILED;
+            AttemptOutcome kind = refusedUnrun ? AttemptOutcome.REFUSED_UNRUN : AttemptOutcome.FAILED;
             finish(kind, "the endpoint answered with status " + status);
         } else if (streamed) {
-            finish(AttemptEnd.LOST, "the stream ended before its last event");
+            finish(AttemptOutcome.LOST, "the stream ended before its last event");
         } else {
             readAnswer();
         }
@@ -164,7 +164,7 @@
         if (!ended && failure.requestWritten() && failure.kind() == TransportException.Kind.RESET) {
             owner.connectionEnded(this);
         }
-        finish(failure.requestWritten() ? AttemptEnd.LOST : AttemptEnd.NOT_SENT, failure.getMessage());
+        finish(failure.requestWritten() ? AttemptOutcome.LOST : AttemptOutcome.NOT_SENT, failure.getMessage());
     }
 
     private void readAnswer() {
@@ -176,13 +176,13 @@
                     && call.getAttempt() == answer.getAttempt();
             if (!mine) {
                 parts.metrics().answerDropped();
-                finish(AttemptEnd.MISMATCHED, "the answer belonged to another call");
+                finish(AttemptOutcome.MISMATCHED, "the answer belonged to another call");
             } else if (end()) {
                 noteProgress();
                 owner.answered(this, answer.getOutput());
             }
         } catch (InvalidDocumentException e) {
-            finish(AttemptEnd.MISMATCHED, e.getMessage());
+            finish(AttemptOutcome.MISMATCHED, e.getMessage());
         }
     }
 
@@ -200,15 +200,15 @@
                 accept(event);
             } else {
                 parts.metrics().answerDropped();
-                cancelExchange(AttemptEnd.MISMATCHED, "an event belonged to another call");
+                cancelExchange(AttemptOutcome.MISMATCHED, "an event belonged to another call");
             }
         } catch (InvalidDocumentException e) {
-            cancelExchange(AttemptEnd.MISMATCHED, e.getMessage());
+            cancelExchange(AttemptOutcome.MISMATCHED, e.getMessage());
         }
     }
 
     private void accept(TokenEvent event) {
-        endpoint.signOfLife();
+        endpoint.recordActivity();
         noteProgress();
         if (event.isDone()) {
             if (end()) {
@@ -218,7 +218,7 @@
         }
         armProgress(AttemptTimeouts.BETWEEN_TOKENS_MS);
         if (!owner.token(this, event.getIndex(), event.getToken())) {
-            cancelExchange(AttemptEnd.MISMATCHED, "a token is missing before index " + event.getIndex());
+            cancelExchange(AttemptOutcome.MISMATCHED, "a token is missing before index " + event.getIndex());
         }
     }
 
@@ -233,7 +233,7 @@
         if (load == null) {
             return;
         }
-        endpoint.reported(load.getInFlight());
+        endpoint.recordReportedLoad(load.getInFlight());
         if (load.isLeaving() && !endpoint.leaving()) {
             parts.leaving().leaving(endpoint);
         }
@@ -249,22 +249,22 @@
     /** Breaking off pays only where the call can be tried elsewhere; else the endpoint keeps it until the deadline. */
     private void noProgress(long allowedMs) {
         if (owner.moves(this)) {
-            cancelExchange(AttemptEnd.TIMED_OUT, "no progress within " + allowedMs + " ms");
+            cancelExchange(AttemptOutcome.TIMED_OUT, "no progress within " + allowedMs + " ms");
         } else {
             armProgress(allowedMs);
         }
     }
 
-    private void cancelExchange(AttemptEnd kind, String detail) {
+    private void cancelExchange(AttemptOutcome kind, String detail) {
         if (exchange != null) {
             exchange.cancel();
         }
         boolean handedOver = exchange != null && exchange.requestWritten();
-        boolean neverSent = kind == AttemptEnd.TIMED_OUT && !handedOver;
-        finish(neverSent ? AttemptEnd.NOT_SENT : kind, detail);
+        boolean neverSent = kind == AttemptOutcome.TIMED_OUT && !handedOver;
+        finish(neverSent ? AttemptOutcome.NOT_SENT : kind, detail);
     }
 
-    private void finish(AttemptEnd kind, String detail) {
+    private void finish(AttemptOutcome kind, String detail) {
         if (end()) {
             owner.ended(this, kind, detail);
         }
--- a/gateway/src/main/java/org/wingstall/gateway/run/StageCrashes.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/StageCrashes.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 import org.wingstall.core.quarantine.Fingerprint;
-import org.wingstall.core.quarantine.GuardedRequest;
-import org.wingstall.core.quarantine.Hold;
 import org.wingstall.core.quarantine.Quarantine;
+import org.wingstall.core.quarantine.QuarantineRefusal;
+import org.wingstall.core.quarantine.RequestQuarantine;
 import org.wingstall.core.route.EndpointState;
 import org.wingstall.schema.check.Json;
 
@@ -14,15 +14,15 @@
  * comes with.
  */
 final class StageCrashes {
-    private final GuardedRequest input;
+    private final RequestQuarantine input;
 
     StageCrashes(Quarantine quarantine, String workspace, String service, JsonNode input) {
         this.input =
-                new GuardedRequest(quarantine, () -> Fingerprint.of(workspace, "STAGE", service, Json.write(input)));
+                new RequestQuarantine(quarantine, () -> Fingerprint.of(workspace, "STAGE", service, Json.write(input)));
     }
 
-    Optional<Hold> hold() {
-        return input.hold();
+    Optional<QuarantineRefusal> hold() {
+        return input.refusal();
     }
 
     void sent(EndpointState endpoint) {
@@ -30,7 +30,7 @@
     }
 
     void lost(EndpointState endpoint) {
-        input.lost(keyOf(endpoint));
+        input.endpointLost(keyOf(endpoint));
     }
 
     void answered(EndpointState endpoint, long sentAtMs) {
@@ -38,7 +38,7 @@
     }
 
     void over() {
-        input.over();
+        input.endTrial();
     }
 
     private static String keyOf(EndpointState endpoint) {
--- a/gateway/src/main/java/org/wingstall/gateway/run/StageRun.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/StageRun.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import org.wingstall.core.admit.StageTimes;
-import org.wingstall.core.quarantine.Hold;
+import org.wingstall.core.quarantine.QuarantineRefusal;
 import org.wingstall.core.retry.AttemptTimeouts;
 import org.wingstall.core.retry.RetryBudget;
 import org.wingstall.core.retry.RetryRules;
-import org.wingstall.core.retry.RetryRules.AttemptEnd;
+import org.wingstall.core.retry.RetryRules.AttemptOutcome;
 import org.wingstall.core.route.EndpointState;
 import org.wingstall.gateway.run.StageListener.StageEnd;
 import org.wingstall.schema.caller.StageCost;
@@ -72,8 +72,8 @@
     }
 
     void begin() {
-        budget.called();
-        hedgeBudget.called();
+        budget.recordCall();
+        hedgeBudget.recordCall();
         ask();
     }
 
@@ -90,7 +90,7 @@
     }
 
     private boolean heldBack() {
-        Optional<Hold> hold = crashes.hold();
+        Optional<QuarantineRefusal> hold = crashes.hold();
         hold.ifPresent(held -> noOutput(called() ? StageEnd.EXHAUSTED : StageEnd.QUARANTINED, held.detail()));
         return hold.isPresent();
     }
@@ -103,7 +103,7 @@
     }
 
     private boolean canLand() {
-        return parts.admission().canLand(remainingMs(), leftMs(), 0);
+        return parts.admission().canMeetDeadline(remainingMs(), leftMs(), 0);
     }
 
     private double leftMs() {
@@ -174,7 +174,7 @@
 
     private void begin(EndpointState endpoint) {
         account.called(endpoint.identity().memberId());
-        endpoint.prefixes().remember(work.prefixDigests());
+        endpoint.prefixes().recordSent(work.prefixDigests());
         StageAttempt attempt = new StageAttempt(
                 parts,
                 context,
@@ -199,7 +199,7 @@
     /** Calls a second endpoint if one has room at once; those who wait go before it. */
     private void hedge() {
         boolean late = !ended && live.size() == 1 && !live.get(0).progressed();
-        if (!late || !canLand() || !RetryRules.retryLeft(account.attempts(), hedgeBudget)) {
+        if (!late || !canLand() || !RetryRules.canRetry(account.attempts(), hedgeBudget)) {
             return;
         }
         EndpointState second = gate.grantSpare(this);
@@ -257,7 +257,7 @@
             answered(from, StageAttempt.textOutput(tokens.text()));
         } else {
             String detail = "the stream ended at token " + sentTokens + ", not " + tokens.count();
-            ended(from, AttemptEnd.MISMATCHED, detail);
+            ended(from, AttemptOutcome.MISMATCHED, detail);
         }
     }
 
@@ -270,7 +270,7 @@
         long ranMs = from.ranMs();
         keepOnly(from);
         settle(from, false);
-        from.endpoint().completed(ranMs);
+        from.endpoint().recordSuccess(ranMs);
         crashes.answered(from.endpoint(), parts.clock().nowMs() - ranMs);
         parts.times().whole(context.pipeline(), stage).record(ranMs);
         listener.output(output);
@@ -282,7 +282,7 @@
     }
 
     @Override
-    public void ended(StageAttempt from, AttemptEnd end, String detail) {
+    public void ended(StageAttempt from, AttemptOutcome end, String detail) {
         if (ended) {
             return;
         }
@@ -290,7 +290,7 @@
         settle(from, wasted);
         judge.ended(from, end);
         excluded.add(from.endpoint().identity().memberId());
-        if (end == AttemptEnd.REFUSED_UNRUN) {
+        if (end == AttemptOutcome.REFUSED_UNRUN) {
             listener.provedUnrun();
         }
         boolean otherGoesOn = !live.isEmpty();
@@ -307,7 +307,7 @@
 
     @Override
     public boolean moves(StageAttempt from) {
-        boolean moves = RetryRules.retryLeft(account.attempts(), budget) && gate.offersOther(this, from.endpoint());
+        boolean moves = RetryRules.canRetry(account.attempts(), budget) && gate.offersOther(this, from.endpoint());
         if (!moves) {
             parts.metrics().timeoutKept();
             judge.kept(from);
@@ -315,7 +315,7 @@
         return moves;
     }
 
-    private void retry(AttemptEnd end) {
+    private void retry(AttemptOutcome end) {
         parts.metrics().retried(stage.getService(), end.code());
         ask();
     }
@@ -350,7 +350,7 @@
         return calls(endpoint) || excluded.contains(endpoint.identity().memberId());
     }
 
-    /** Asked for every candidate of every call; a loop over nothing costs nothing. */
+    /** Delegation for every candidate of every call; a loop over nothing costs nothing. */
     private boolean calls(EndpointState endpoint) {
         for (StageAttempt attempt : live) {
             if (attempt.endpoint() == endpoint) {
--- a/gateway/src/test/java/org/wingstall/gateway/control/MemberFollowerTest.java
+++ b/gateway/src/test/java/org/wingstall/gateway/control/MemberFollowerTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.wingstall.core.member.MemberChanges;
+import org.wingstall.core.member.MemberListDiff;
 import org.wingstall.core.member.MemberSnapshot;
 import org.wingstall.gateway.Metrics;
 import org.wingstall.net.EventLoops;
@@ -130,7 +130,7 @@
     public void aReaderTellsTheOthersWhatChanged() {
         list.answers = List.of(answer(FIRST), answer(SECOND));
         follower(50, told::add).start();
-        await(() -> assertEquals(domain.news, List.of(MemberChanges.between(FIRST, SECOND, 0))));
+        await(() -> assertEquals(domain.news, List.of(MemberListDiff.between(FIRST, SECOND, 0))));
     }
 
     @Test
@@ -142,7 +142,7 @@
         follower.start();
         await(() -> assertEquals(follower.last(), FIRST));
         int readsOfFirst = list.reads.get();
-        List<MemberNews> news = new ArrayList<>(List.of(MemberChanges.between(FIRST, SECOND, 0)));
+        List<MemberNews> news = new ArrayList<>(List.of(MemberListDiff.between(FIRST, SECOND, 0)));
         domain.tags = Set.of(FIRST.shortTag(), SECOND.shortTag());
         loop.execute(() -> follower.newsFromPeer(news.get(0)));
         await(() -> assertEquals(follower.last().tag(), SECOND.tag()));
@@ -166,7 +166,7 @@
         MemberFollower follower = follower(50, told::add);
         follower.start();
         await(() -> assertEquals(list.reads.get(), 2));
-        loop.execute(() -> follower.newsFromPeer(MemberChanges.between(FIRST, SECOND, 0)));
+        loop.execute(() -> follower.newsFromPeer(MemberListDiff.between(FIRST, SECOND, 0)));
         await(() -> assertEquals(follower.last().tag(), SECOND.tag()));
         slow.complete(FIRST);
         await(() -> assertEquals(list.reads.get() > 2, true));
--- a/gateway/src/test/java/org/wingstall/gateway/run/ServiceGateTest.java
+++ b/gateway/src/test/java/org/wingstall/gateway/run/ServiceGateTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import org.wingstall.core.queue.WaitEstimate;
+import org.wingstall.core.queue.WaitEstimator;
 import org.wingstall.core.queue.WaitQueue;
 import org.wingstall.core.route.Candidate;
 import org.wingstall.core.route.EndpointIdentity;
@@ -25,7 +25,7 @@
             "d",
             true,
             WaitQueue.of(policy),
-            WaitEstimate.of(policy, System::nanoTime));
+            WaitEstimator.of(policy, System::nanoTime));
     private final List<Integer> served = new ArrayList<>();
 
     /** A stage that holds its slot, or gives it back as soon as it has it, as one that can't land any more does. */
--- a/gateway/src/test/java/org/wingstall/gateway/run/SpilloverTest.java
+++ b/gateway/src/test/java/org/wingstall/gateway/run/SpilloverTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.queue.WaitEstimate;
+import org.wingstall.core.queue.WaitEstimator;
 import org.wingstall.core.queue.WaitQueue;
 import org.wingstall.core.route.Candidate;
 import org.wingstall.core.route.EndpointIdentity;
@@ -41,7 +41,7 @@
         EndpointState near = endpoint("near", "here");
         EndpointState far = endpoint("far", "there");
         if (reported > 0) {
-            far.reported(reported);
+            far.recordReportedLoad(reported);
         }
         ServiceGate gate = new ServiceGate(
                 () -> List.of(new Candidate(near, 1, SLOTS, 1), new Candidate(far, 2, SLOTS, 1)),
@@ -49,7 +49,7 @@
                 "here",
                 true,
                 WaitQueue.of(policy),
-                WaitEstimate.of(policy, System::nanoTime));
+                WaitEstimator.of(policy, System::nanoTime));
         List<String> granted = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             gate.request(new HoldingWaiter(granted));
--- a/load/src/main/java/org/wingstall/load/Slopes.java
+++ b/load/src/main/java/org/wingstall/load/Slopes.java
@@ -58,7 +58,7 @@
             long before = usedBytes();
             for (EndpointState state : registry.all()) {
                 for (int prompt = 0; prompt < 64; prompt++) {
-                    state.prefixes().remember(PromptBlocks.digests(("prompt " + prompt + " ").repeat(2000)));
+                    state.prefixes().recordSent(PromptBlocks.digests(("prompt " + prompt + " ").repeat(2000)));
                 }
             }
             long heap = usedBytes() - before;
@@ -193,7 +193,7 @@
             List<EndpointState> states = registry.endpointsOf("service-0");
             List<Candidate> candidates =
                     states.stream().map(state -> new Candidate(state, 8, 8, 1)).toList();
-            states.forEach(state -> state.prefixes().remember(digests));
+            states.forEach(state -> state.prefixes().recordSent(digests));
             RouteRequest plain = new RouteRequest("domain-0", 50, new long[0]);
             RouteRequest prompted = new RouteRequest("domain-0", 50, digests);
             double without = meanMicros(ROUNDS * 20, () -> router.choose(candidates, plain));
--- a/peer/src/main/java/org/wingstall/peer/Dialer.java
+++ b/peer/src/main/java/org/wingstall/peer/Dialer.java
@@ -74,7 +74,7 @@
         List<LinkPlan.Box> reachable = directory.reachable();
         planned = new HashSet<>(options.links().linksOf(self, reachable, directory.all()));
         planned.remove(self.boxId());
-        carriers = Set.copyOf(options.links().carriers(self, reachable));
+        carriers = Set.copyOf(options.links().hubs(self, reachable));
         unreachable = new ArrayList<>(directory.all());
         unreachable.removeAll(reachable);
     }
--- a/peer/src/main/java/org/wingstall/peer/DomainTable.java
+++ b/peer/src/main/java/org/wingstall/peer/DomainTable.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Predicate;
-import org.wingstall.core.limit.DemandSums;
+import org.wingstall.core.limit.DemandTotals;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.schema.peer.DomainSummary;
 import org.wingstall.schema.peer.Heartbeat;
@@ -74,7 +74,7 @@
     DomainSummary summarize(Heartbeat self, List<PeerState> peers, Predicate<PeerState> heard) {
         long lowest = self.getRevision();
         int boxes = 1;
-        DemandSums demand = new DemandSums();
+        DemandTotals demand = new DemandTotals();
         demand.add(self.getDemand());
         for (PeerState peer : peers) {
             if (heard.test(peer)) {
--- a/peer/src/main/java/org/wingstall/peer/Heartbeats.java
+++ b/peer/src/main/java/org/wingstall/peer/Heartbeats.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import org.wingstall.core.peer.BeatTurns;
 import org.wingstall.core.peer.HeartbeatPacer;
+import org.wingstall.core.peer.HeartbeatThrottle;
 import org.wingstall.net.frame.FrameCodec;
 import org.wingstall.peer.format.PeerFrameFormat;
 import org.wingstall.schema.peer.DomainSummary;
@@ -22,7 +22,7 @@
     private final DomainTable domains;
     private final PeerTable peers;
     private final HeartbeatPacer pacer;
-    private final BeatTurns turns = new BeatTurns();
+    private final HeartbeatThrottle turns = new HeartbeatThrottle();
     private volatile HeartbeatPacer.Plan plan;
     private int sinceFull;
 
@@ -48,7 +48,7 @@
 
     /** Sends the heartbeats of a turn, if any are due. */
     void turn(boolean worksForOthers) {
-        if (!turns.due(worksForOthers)) {
+        if (!turns.isDue(worksForOthers)) {
             return;
         }
         sinceFull++;
--- a/peer/src/main/java/org/wingstall/peer/PeerTable.java
+++ b/peer/src/main/java/org/wingstall/peer/PeerTable.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import org.wingstall.core.peer.BeatTurns;
+import org.wingstall.core.peer.HeartbeatThrottle;
 import org.wingstall.core.peer.LinkPlan;
-import org.wingstall.core.peer.Rendezvous;
+import org.wingstall.core.peer.RendezvousHash;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.schema.peer.Heartbeat;
 import org.wingstall.schema.peer.Hello;
@@ -74,7 +74,8 @@
     /** Returns whether a peer was heard lately, and owes no reply that it gives at once. */
     public boolean heard(PeerState peer) {
         String boxId = peer.hello().getBoxId();
-        long allowedMs = beatsSeldom.test(boxId) ? BeatTurns.SELDOM * silentAfterMs : silentAfterMs;
+        long allowedMs =
+                beatsSeldom.test(boxId) ? HeartbeatThrottle.NON_HUB_INTERVAL_TICKS * silentAfterMs : silentAfterMs;
         return peer.heardSince(clock.nowMs() - allowedMs) && !replies.overdue(boxId);
     }
 
@@ -95,7 +96,7 @@
 
     /** Returns whether this box is among the first few that its failure domain would choose for a purpose. */
     public boolean amongFirst(String purpose, int count) {
-        return Rendezvous.top(purpose, heardBoxesInDomain(), count).contains(self.boxId());
+        return RendezvousHash.top(purpose, heardBoxesInDomain(), count).contains(self.boxId());
     }
 
     /** Returns the boxes that are heard and not stopping, in whatever failure domain, this one not included. */
@@ -154,7 +155,7 @@
         }
         return boxes.isEmpty()
                 ? self.boxId()
-                : Rendezvous.top("claims", boxes, 1).get(0);
+                : RendezvousHash.top("claims", boxes, 1).get(0);
     }
 
     /** Returns whether this box or a peer that it has a link to gets answers from the platform's table. */
--- a/peer/src/test/java/org/wingstall/peer/DialerTest.java
+++ b/peer/src/test/java/org/wingstall/peer/DialerTest.java
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public Set<String> carriers(LinkPlan.Box self, Collection<LinkPlan.Box> reachable) {
+        public Set<String> hubs(LinkPlan.Box self, Collection<LinkPlan.Box> reachable) {
             return Set.of();
         }
     }
--- a/relay/src/main/java/org/wingstall/relay/config/ClientLimits.java
+++ b/relay/src/main/java/org/wingstall/relay/config/ClientLimits.java
@@ -11,7 +11,7 @@
  * @param idleMs longest time between two requests of a connection, in ms
  * @since 0.2
  */
-public record ClientLimits(int headerBytes, int bodyBytes, long headerMs, long idleMs) {
+public record ClientLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
     /** Bounds until a configuration is known; of the order of those in use. */
-    public static final ClientLimits UNTIL_KNOWN = new ClientLimits(16_384, 4_194_304, 3000, 15_000);
+    public static final ClientLimits DEFAULTS = new ClientLimits(16_384, 4_194_304, 3000, 15_000);
 }
--- a/relay/src/main/java/org/wingstall/relay/config/EngineSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/EngineSpec.java
@@ -11,9 +11,9 @@
  * @param memoryTokens tokens that its memory holds
  * @since 0.5
  */
-public record EngineSpec(boolean fetches, long tokenBytes, double linkBytesPerMs, long memoryTokens) {
+public record EngineSpec(boolean canFetch, long bytesPerToken, double linkBytesPerMs, long cacheCapacityTokens) {
     /** Returns the time to fetch so many tokens, in ms. */
     public double fetchMs(int tokens) {
-        return linkBytesPerMs <= 0 ? Double.MAX_VALUE : tokens * (double) tokenBytes / linkBytesPerMs;
+        return linkBytesPerMs <= 0 ? Double.MAX_VALUE : tokens * (double) bytesPerToken / linkBytesPerMs;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
@@ -15,7 +15,13 @@
  * @since 0.2
  */
 public record PoolSpec(
-        int slots, int queue, int batch, double baseMs, double pieceMs, double roomBytes, long resultLifeMs) {
+        int slots,
+        int queueCapacity,
+        int maxBatchSize,
+        double baseMs,
+        double pieceMs,
+        double resultCapacityBytes,
+        long resultTtlMs) {
     /** Returns the time of a call with so many pieces, in ms. */
     public double callMs(int pieces) {
         return baseMs + pieces * pieceMs;
--- a/relay/src/main/java/org/wingstall/relay/config/Homes.java
+++ b/relay/src/main/java/org/wingstall/relay/config/RegionRestriction.java
@@ -12,37 +12,37 @@
  * @param regions the regions that they are bound to; none when nothing is common to route and workspace
  * @since 0.8
  */
-public record Homes(boolean bound, Set<String> regions) {
+public record RegionRestriction(boolean restricted, Set<String> regions) {
     /** Requests that may run in any region. */
-    public static final Homes ANYWHERE = new Homes(false, Set.of());
+    public static final RegionRestriction UNRESTRICTED = new RegionRestriction(false, Set.of());
 
     /** Copies the regions. */
-    public Homes {
+    public RegionRestriction {
         regions = Set.copyOf(regions);
     }
 
     /** Returns the homes that a list of regions names; an empty list binds to none. */
-    public static Homes of(Set<String> regions) {
-        return regions.isEmpty() ? ANYWHERE : new Homes(true, regions);
+    public static RegionRestriction of(Set<String> regions) {
+        return regions.isEmpty() ? UNRESTRICTED : new RegionRestriction(true, regions);
     }
 
     /** Returns what holds where both bind. */
-    public Homes and(Homes other) {
-        if (!bound || !other.bound) {
-            return bound ? this : other;
+    public RegionRestriction intersect(RegionRestriction other) {
+        if (!restricted || !other.restricted) {
+            return restricted ? this : other;
         }
         Set<String> common = new HashSet<>(regions);
         common.retainAll(other.regions);
-        return new Homes(true, common);
+        return new RegionRestriction(true, common);
     }
 
     /** Returns whether requests may run in a region; where a region is not known they may only when they are not bound. */
     public boolean allows(String region) {
-        return !bound || regions.contains(region);
+        return !restricted || regions.contains(region);
     }
 
     /** Returns whether there is no region where requests may run. */
-    public boolean nowhere() {
-        return bound && regions.isEmpty();
+    public boolean allowsNone() {
+        return restricted && regions.isEmpty();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/config/RelayConfig.java
+++ b/relay/src/main/java/org/wingstall/relay/config/RelayConfig.java
@@ -18,13 +18,13 @@
 public final class RelayConfig {
     /** What holds before a configuration is known. */
     public static final RelayConfig NONE =
-            new RelayConfig(0, List.of(), List.of(), Map.of(), false, ClientLimits.UNTIL_KNOWN);
+            new RelayConfig(0, List.of(), List.of(), Map.of(), false, ClientLimits.DEFAULTS);
 
     private final long version;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
     private final Map<String, ServiceSpec> services = new HashMap<>();
     private final Map<String, Workspace> workspacesByKey;
-    private final boolean keyed;
+    private final boolean keysRequired;
     private final ClientLimits limits;
 
     /**
@@ -42,11 +42,11 @@
             List<Route> routes,
             List<ServiceSpec> services,
             Map<String, Workspace> workspacesByKey,
-            boolean keyed,
+            boolean keysRequired,
             ClientLimits limits) {
         this.version = version;
         this.workspacesByKey = Map.copyOf(workspacesByKey);
-        this.keyed = keyed;
+        this.keysRequired = keysRequired;
         this.limits = limits;
         for (Route route : routes) {
             routesByHost
@@ -71,7 +71,7 @@
     }
 
     /** Returns the route with the longest prefix that begins the path. */
-    public Optional<Route> routeOf(String host, String path) {
+    public Optional<Route> findRoute(String host, String path) {
         String name = withoutPort(host).toLowerCase(Locale.ROOT);
         for (Route route : routesByHost.getOrDefault(name, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
@@ -92,13 +92,13 @@
     }
 
     /** Returns the holder of a key; empty when no one holds it. */
-    public Optional<Workspace> workspaceOf(String key) {
+    public Optional<Workspace> workspaceForKey(String key) {
         return key == null ? Optional.empty() : Optional.ofNullable(workspacesByKey.get(key));
     }
 
     /** Returns whether routes that are not open need a key. */
-    public boolean keyed() {
-        return keyed;
+    public boolean keysRequired() {
+        return keysRequired;
     }
 
     /** Returns the bounds on clients. */
--- a/relay/src/main/java/org/wingstall/relay/config/Route.java
+++ b/relay/src/main/java/org/wingstall/relay/config/Route.java
@@ -28,20 +28,20 @@
         String pathPrefix,
         Kind kind,
         boolean resumable,
-        boolean open,
+        boolean keyOptional,
         int maxAttempts,
         long timeoutMs,
         long targetMs,
         int rank,
-        List<ServiceShare> split,
+        List<ServiceShare> serviceShares,
         List<StageSpec> stages,
-        Homes homes) {
+        RegionRestriction regionRestriction) {
     /** Kinds of request. */
     public enum Kind {
         /** May run more than once. */
-        REPEATABLE,
+        IDEMPOTENT,
         /** Runs at most once. */
-        ONCE,
+        NON_IDEMPOTENT,
         /** Is answered by a series of events. */
         STREAM
     }
@@ -55,8 +55,8 @@
     public record ServiceShare(String service, double weight) {}
 
     /** Returns whether a request may run more than once, from its start or from the last event that came. */
-    public boolean repeatable() {
-        return kind == Kind.REPEATABLE || resumable && streamed();
+    public boolean retryable() {
+        return kind == Kind.IDEMPOTENT || resumable && streamed();
     }
 
     /** Returns whether the answer is a series of events. */
@@ -65,15 +65,15 @@
     }
 
     /** Chooses the service of a request by a number in [0, 1). */
-    public String service(double random) {
-        double sum = split.stream().mapToDouble(ServiceShare::weight).sum();
+    public String selectService(double random) {
+        double sum = serviceShares.stream().mapToDouble(ServiceShare::weight).sum();
         double left = random * sum;
-        for (ServiceShare share : split) {
+        for (ServiceShare share : serviceShares) {
             left -= share.weight();
             if (left < 0) {
                 return share.service();
             }
         }
-        return split.get(split.size() - 1).service();
+        return serviceShares.get(serviceShares.size() - 1).service();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/config/ServiceSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/ServiceSpec.java
@@ -21,4 +21,4 @@
         int slots,
         Optional<PoolSpec> pool,
         Optional<EngineSpec> engine,
-        Optional<ColdSpec> cold) {}
+        Optional<ColdStartSpec> coldStart) {}
--- a/relay/src/main/java/org/wingstall/relay/config/StageSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/StageSpec.java
@@ -13,4 +13,4 @@
  * @param resultBytes approximate size of one result
  * @since 0.2
  */
-public record StageSpec(int index, String service, List<Integer> after, long resultBytes) {}
+public record StageSpec(int index, String service, List<Integer> dependencies, long resultBytes) {}
--- a/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
@@ -22,19 +22,19 @@
     private static final Logger LOG = LogManager.getLogger(BoxFollower.class);
 
     /** Pause between the first reads, in ms: boxes of a fleet start within some hundred ms of each other. */
-    private static final long FIRST_MS = 1000;
+    private static final long INITIAL_INTERVAL_MS = 1000;
 
-    private static final int FIRST_READS = 3;
+    private static final int INITIAL_READS = 3;
 
     /** Pause between later reads, in ms; a new box dials the others itself. */
-    private static final long LATER_MS = 20_000;
+    private static final long INTERVAL_MS = 20_000;
 
     private final EventLoop loop;
     private final BoxDirectory directory;
     private final BoxDirectory.Box self;
     private final Consumer<List<BoxDirectory.Box>> listener;
     private boolean announced;
-    private volatile int reads;
+    private volatile int successfulReads;
 
     /**
      * Creates a follower.
@@ -54,26 +54,26 @@
 
     /** Begins to follow. */
     public void start() {
-        loop.execute(this::turn);
+        loop.execute(this::poll);
     }
 
     /** Returns whether boxes that started together with this one have been read; on any thread. */
-    public boolean settled() {
-        return reads >= FIRST_READS;
+    public boolean initialReadsDone() {
+        return successfulReads >= INITIAL_READS;
     }
 
-    private void turn() {
+    private void poll() {
         CompletableFuture<Void> done = announced ? CompletableFuture.completedFuture(null) : directory.announce(self);
         done.thenCompose(written -> {
                     announced = true;
                     return directory.read();
                 })
-                .whenCompleteAsync(this::read, loop);
+                .whenCompleteAsync(this::onRead, loop);
     }
 
-    private void read(List<BoxDirectory.Box> boxes, Throwable failure) {
+    private void onRead(List<BoxDirectory.Box> boxes, Throwable failure) {
         if (failure == null) {
-            reads++;
+            successfulReads++;
             listener.accept(boxes);
         } else {
             LogEvent.warn("box-directory-unread")
@@ -81,6 +81,7 @@
                     .cause(failure)
                     .to(LOG);
         }
-        loop.schedule(this::turn, reads < FIRST_READS ? FIRST_MS : LATER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                this::poll, successfulReads < INITIAL_READS ? INITIAL_INTERVAL_MS : INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/control/CrashReportFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/CrashReportFollower.java
@@ -20,21 +20,21 @@
  */
 public final class CrashReportFollower {
     /** Reports that wait to be kept while the store gives no answers; the links carry them meanwhile. */
-    private static final int MOST_WAITING = 200;
+    private static final int MAX_PENDING = 200;
 
     /** Pause between looks whether this box is still told of reports, in ms; a quarter of the time after which it must know. */
-    private static final long TOLD_CHECK_MS = 1000;
+    private static final long HUB_CHECK_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
     private final CrashReportStore store;
     private final Consumer<CrashReport> listener;
-    private final BooleanSupplier told;
-    private final SourceHealth reading = new SourceHealth("crash-reports");
-    private final SourceHealth keeping = new SourceHealth("crash-reports-kept");
-    private final Map<String, CrashReport> waiting = new LinkedHashMap<>();
-    private boolean readWhole = true;
-    private boolean known;
-    private boolean writing;
+    private final BooleanSupplier receivesFromHubs;
+    private final SourceHealth readHealth = new SourceHealth("crash-reports");
+    private final SourceHealth writeHealth = new SourceHealth("crash-reports-kept");
+    private final Map<String, CrashReport> pending = new LinkedHashMap<>();
+    private boolean fullReadDue = true;
+    private boolean initialReadDone;
+    private boolean writeInProgress;
 
     /**
      * Creates a follower.
@@ -45,8 +45,8 @@
      * @param told whether hubs tell this box of all reports over their links
      */
     public CrashReportFollower(
-            EventLoop loop, CrashReportStore store, Consumer<CrashReport> listener, BooleanSupplier told) {
-        this.told = told;
+            EventLoop loop, CrashReportStore store, Consumer<CrashReport> listener, BooleanSupplier receivesFromHubs) {
+        this.receivesFromHubs = receivesFromHubs;
         this.loop = loop;
         this.store = store;
         this.listener = listener;
@@ -54,67 +54,68 @@
 
     /** Begins to follow. */
     public void start() {
-        loop.execute(this::follow);
+        loop.execute(this::poll);
     }
 
     /** A call that waits at the store has its price, so a box that learns of reports anyway makes none. */
-    private void follow() {
-        if (known && told.getAsBoolean()) {
-            readWhole = true;
-            loop.schedule(this::follow, TOLD_CHECK_MS, TimeUnit.MILLISECONDS);
+    private void poll() {
+        if (initialReadDone && receivesFromHubs.getAsBoolean()) {
+            fullReadDue = true;
+            loop.schedule(this::poll, HUB_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
-            store.next(readWhole).whenCompleteAsync(this::read, loop);
+            store.next(fullReadDue).whenCompleteAsync(this::onRead, loop);
         }
     }
 
-    private void read(List<CrashReport> reports, Throwable failure) {
-        readWhole = failure != null;
+    private void onRead(List<CrashReport> reports, Throwable failure) {
+        fullReadDue = failure != null;
         if (failure == null) {
-            known = true;
-            reports.forEach(this::take);
+            initialReadDone = true;
+            reports.forEach(this::process);
         }
-        reading.ended(failure);
-        long delayMs = failure == null ? 0 : reading.repeatMs(known);
-        loop.schedule(this::follow, delayMs, TimeUnit.MILLISECONDS);
+        readHealth.recordResult(failure);
+        long delayMs = failure == null ? 0 : readHealth.retryDelayMs(initialReadDone);
+        loop.schedule(this::poll, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void take(CrashReport report) {
-        if (report.getAgeMs() < Quarantine.FORGET_MS) {
+    private void process(CrashReport report) {
+        if (report.getAgeMs() < Quarantine.REPORT_RETENTION_MS) {
             listener.accept(report);
         } else {
-            store.drop(report.getFingerprint()).whenCompleteAsync((done, failure) -> keeping.ended(failure), loop);
+            store.delete(report.getFingerprint())
+                    .whenCompleteAsync((done, failure) -> writeHealth.recordResult(failure), loop);
         }
     }
 
     /** Keeps a report, at once or when the store answers again. For use on any thread. */
-    public void keep(CrashReport report) {
+    public void save(CrashReport report) {
         loop.execute(() -> {
-            boolean room = waiting.size() < MOST_WAITING || waiting.containsKey(report.getFingerprint());
+            boolean room = pending.size() < MAX_PENDING || pending.containsKey(report.getFingerprint());
             if (room) {
-                waiting.put(report.getFingerprint(), report);
+                pending.put(report.getFingerprint(), report);
             }
             writeNext();
         });
     }
 
     private void writeNext() {
-        if (writing || waiting.isEmpty()) {
+        if (writeInProgress || pending.isEmpty()) {
             return;
         }
-        writing = true;
-        CrashReport report = waiting.values().iterator().next();
-        store.keep(report).whenCompleteAsync((done, failure) -> written(report, failure), loop);
+        writeInProgress = true;
+        CrashReport report = pending.values().iterator().next();
+        store.save(report).whenCompleteAsync((done, failure) -> onWritten(report, failure), loop);
     }
 
-    private void written(CrashReport report, Throwable failure) {
-        keeping.ended(failure);
+    private void onWritten(CrashReport report, Throwable failure) {
+        writeHealth.recordResult(failure);
         if (failure == null) {
-            waiting.remove(report.getFingerprint(), report);
+            pending.remove(report.getFingerprint(), report);
         }
-        long delayMs = failure == null ? 0 : keeping.repeatMs(true);
+        long delayMs = failure == null ? 0 : writeHealth.retryDelayMs(true);
         loop.schedule(
                 () -> {
-                    writing = false;
+                    writeInProgress = false;
                     writeNext();
                 },
                 delayMs,
--- a/relay/src/main/java/org/wingstall/relay/control/EvacuationState.java
+++ b/relay/src/main/java/org/wingstall/relay/control/EvacuationState.java
@@ -43,7 +43,7 @@
      * @param offered the evacuations
      * @param from where they came from, for the log
      */
-    public synchronized void offer(Evacuations offered, String from) {
+    public synchronized void updateIfNewer(Evacuations offered, String from) {
         Evacuations before = current.get();
         if (offered.asOfVersion() <= before.asOfVersion()) {
             return;
--- a/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.wingstall.core.member.MemberChanges;
+import org.wingstall.core.member.MemberListDiff;
 import org.wingstall.core.member.MemberSnapshot;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.log.LogEvent;
@@ -28,26 +28,26 @@
     private static final Logger LOG = LogManager.getLogger(ListFollower.class);
 
     /** Turns within which a reader has to have read the list to vouch for it; one read may fail. */
-    private static final int FRESH_TURNS = 3;
+    private static final int FRESH_INTERVALS = 3;
 
     /** Longest time without a read of its own, in ms, whatever peers say. */
-    private static final long MOST_AGE_MS = 30_000;
+    private static final long MAX_READ_AGE_MS = 30_000;
 
     /** Time after an outage for which every box reads, in ms: entries that lapsed have about 2 s to come back. */
-    private static final long SETTLE_MS = 4000;
+    private static final long RECOVERY_MS = 4000;
 
     private final EventLoop loop;
     private final EndpointSource source;
-    private final RelayEndpoints table;
-    private final ReadingDuty duty;
+    private final RelayEndpoints endpoints;
+    private final ReadPolicy readPolicy;
     private final MonotonicClock clock;
     private final long intervalMs;
     private final ChangeListener listener;
     private final SourceHealth health = new SourceHealth("endpoints");
-    private boolean reading;
-    private long settledAtMs = Long.MIN_VALUE;
+    private boolean readInProgress;
+    private long recoveredAtMs = Long.MIN_VALUE;
     private long asOfVersion;
-    private volatile Known known = new Known(MemberSnapshot.NONE, 0);
+    private volatile VersionedList current = new VersionedList(MemberSnapshot.NONE, 0);
     private volatile long readAtMs = Long.MIN_VALUE / 2;
 
     /**
@@ -56,7 +56,7 @@
      * @param list the list
      * @param version version of the source at which this box saw the list first
      */
-    private record Known(MemberSnapshot list, long version) {}
+    private record VersionedList(MemberSnapshot list, long version) {}
 
     /** Told of changes of the list. */
     public interface ChangeListener {
@@ -64,7 +64,7 @@
         void changed();
 
         /** This box has read a change that peers may not know. */
-        void tell(MemberNews news);
+        void announce(MemberNews news);
     }
 
     /**
@@ -81,15 +81,15 @@
     public ListFollower(
             EventLoop loop,
             EndpointSource source,
-            RelayEndpoints table,
-            ReadingDuty duty,
+            RelayEndpoints endpoints,
+            ReadPolicy readPolicy,
             MonotonicClock clock,
             long intervalMs,
             ChangeListener listener) {
         this.loop = loop;
         this.source = source;
-        this.table = table;
-        this.duty = duty;
+        this.endpoints = endpoints;
+        this.readPolicy = readPolicy;
         this.clock = clock;
         this.intervalMs = intervalMs;
         this.listener = listener;
@@ -97,23 +97,23 @@
 
     /** Begins to follow. */
     public void start() {
-        loop.execute(this::turn);
+        loop.execute(this::poll);
     }
 
     /** Returns whether the source gave no answer to the last read; read on any thread. */
-    public boolean unanswered() {
-        return !health.answers();
+    public boolean sourceUnavailable() {
+        return !health.available();
     }
 
     /** Returns the short tag of the list if this box has read it lately, else 0; read on any thread. */
-    public int tagReadLately() {
-        boolean fresh = clock.nowMs() - readAtMs < FRESH_TURNS * intervalMs;
-        return fresh && health.answers() ? known.list().shortTag() : 0;
+    public int freshTag() {
+        boolean fresh = clock.nowMs() - readAtMs < FRESH_INTERVALS * intervalMs;
+        return fresh && health.available() ? current.list().shortTag() : 0;
     }
 
     /** Returns the version of the source at which this box saw its list first; read on any thread. */
     public long listVersion() {
-        return known.version();
+        return current.version();
     }
 
     /**
@@ -122,12 +122,12 @@
      * @param tag short tag of its list; 0 when the peer has not read it lately
      * @param version the version at which the peer saw that list first
      */
-    public void peerHas(int tag, long version) {
+    public void onPeerList(int tag, long version) {
         if (tag == 0) {
             return;
         }
-        if (tag == known.list().shortTag()) {
-            table.confirmed();
+        if (tag == current.list().shortTag()) {
+            endpoints.markListCurrent();
         } else {
             loop.execute(() -> readIfNewer(version));
         }
@@ -135,29 +135,29 @@
 
     /** A source that gives no answers is asked at its own pace, not with every heartbeat. */
     private void readIfNewer(long version) {
-        if (version > asOfVersion && health.answers()) {
-            readUnlessReading();
+        if (version > asOfVersion && health.available()) {
+            startReadIfIdle();
         }
     }
 
     /** Takes in a change that a peer read; one that was made for another list is read instead. For use on any thread. */
-    public void newsFromPeer(MemberNews news) {
-        loop.execute(() -> takeNews(news));
+    public void onPeerChange(MemberNews news) {
+        loop.execute(() -> applyPeerChange(news));
     }
 
-    private void takeNews(MemberNews news) {
-        boolean late = news.getVersion() <= asOfVersion
-                || news.getTag().equals(known.list().tag());
-        if (late || settling()) {
+    private void applyPeerChange(MemberNews news) {
+        boolean stale = news.getVersion() <= asOfVersion
+                || news.getTag().equals(current.list().tag());
+        if (stale || recovering()) {
             return;
         }
-        Optional<MemberSnapshot> after = MemberChanges.apply(known.list(), news);
+        Optional<MemberSnapshot> after = MemberListDiff.apply(current.list(), news);
         if (after.isEmpty()) {
-            readUnlessReading();
+            startReadIfIdle();
             return;
         }
-        table.applyList(after.get().members());
-        known = new Known(after.get(), news.getVersion());
+        endpoints.applyList(after.get().members());
+        current = new VersionedList(after.get(), news.getVersion());
         asOfVersion = news.getVersion();
         LogEvent.info("endpoint-list-told")
                 .with("version", news.getVersion())
@@ -168,45 +168,45 @@
     }
 
     /** While entries that lapsed may come back, each box goes by what it reads itself. */
-    private boolean settling() {
-        return !health.answers() || clock.nowMs() < settledAtMs;
+    private boolean recovering() {
+        return !health.available() || clock.nowMs() < recoveredAtMs;
     }
 
-    private void turn() {
+    private void poll() {
         long nowMs = clock.nowMs();
-        boolean due = settling() || nowMs - readAtMs >= MOST_AGE_MS || duty.mine();
+        boolean due = recovering() || nowMs - readAtMs >= MAX_READ_AGE_MS || readPolicy.shouldRead();
         if (due) {
-            readUnlessReading();
+            startReadIfIdle();
         }
-        long delayMs = health.answers() ? intervalMs : health.repeatMs(table.known());
-        loop.schedule(this::turn, delayMs, TimeUnit.MILLISECONDS);
+        long delayMs = health.available() ? intervalMs : health.retryDelayMs(endpoints.listLoaded());
+        loop.schedule(this::poll, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void readUnlessReading() {
-        if (!reading) {
-            reading = true;
-            readSource().whenCompleteAsync(this::read, loop);
+    private void startReadIfIdle() {
+        if (!readInProgress) {
+            readInProgress = true;
+            readSource().whenCompleteAsync(this::onRead, loop);
         }
     }
 
     private CompletableFuture<EndpointSource.Listing> readSource() {
-        return table.known() ? source.read() : FirstAnswer.of(loop, source::read);
+        return endpoints.listLoaded() ? source.read() : HedgedRead.start(loop, source::read);
     }
 
-    private void read(EndpointSource.Listing listing, Throwable failure) {
-        reading = false;
+    private void onRead(EndpointSource.Listing listing, Throwable failure) {
+        readInProgress = false;
         if (failure == null) {
             apply(listing);
         } else {
-            table.unread();
-            settledAtMs = Long.MAX_VALUE;
+            endpoints.markListUnavailable();
+            recoveredAtMs = Long.MAX_VALUE;
         }
-        health.ended(failure);
+        health.recordResult(failure);
     }
 
     private void apply(EndpointSource.Listing listing) {
-        if (!health.answers()) {
-            settledAtMs = clock.nowMs() + SETTLE_MS;
+        if (!health.available()) {
+            recoveredAtMs = clock.nowMs() + RECOVERY_MS;
         }
         readAtMs = clock.nowMs();
         if (listing.version() < asOfVersion) {
@@ -216,19 +216,19 @@
                     .to(LOG);
             return;
         }
-        MemberSnapshot before = known.list();
-        MemberSnapshot after = MemberSnapshot.tagged(listing.members());
-        boolean endpointsDiffer = table.applyList(after.members());
+        MemberSnapshot before = current.list();
+        MemberSnapshot after = MemberSnapshot.withContentTag(listing.members());
+        boolean endpointsDiffer = endpoints.applyList(after.members());
         asOfVersion = listing.version();
         boolean listDiffers = !after.tag().equals(before.tag());
         if (listDiffers) {
-            known = new Known(after, listing.version());
+            current = new VersionedList(after, listing.version());
         }
         if (endpointsDiffer || listDiffers) {
             listener.changed();
         }
-        if (listDiffers && before.shortTag() != 0 && !settling()) {
-            listener.tell(MemberChanges.between(before, after, listing.version()));
+        if (listDiffers && before.shortTag() != 0 && !recovering()) {
+            listener.announce(MemberListDiff.between(before, after, listing.version()));
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/control/OneReaderPerDomain.java
+++ b/relay/src/main/java/org/wingstall/relay/control/OneReaderPerDomainPolicy.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import org.wingstall.core.peer.Rendezvous;
+import org.wingstall.core.peer.RendezvousHash;
 
 /**
  * Lets one box of each failure domain read, chosen by rendezvous hashing among those that do work for others; every box that
  * hears no reader at all reads for itself.
  *
- * <p>{@code new OneReaderPerDomain("kgn-a-1", peers, mesh::carries).mine()}
+ * <p>{@code new OneReaderPerDomainPolicy("kgn-a-1", peers, mesh::carries).mine()}
  *
  * @since 0.3
  */
-public final class OneReaderPerDomain implements ReadingDuty {
+public final class OneReaderPerDomainPolicy implements ReadPolicy {
     private final String self;
-    private final Supplier<List<Peer>> heard;
-    private final Predicate<String> carries;
+    private final Supplier<List<Peer>> reachablePeers;
+    private final Predicate<String> isHub;
 
     /**
      * A peer that is heard and not stopping.
@@ -27,7 +27,7 @@
      * @param reads whether it says that it has read the list lately
      * @param unanswered whether it says that the store does not answer it
      */
-    public record Peer(String boxId, boolean ownDomain, boolean reads, boolean unanswered) {}
+    public record Peer(String boxId, boolean sameDomain, boolean readRecently, boolean storeUnavailable) {}
 
     /**
      * Creates the choice.
@@ -36,26 +36,26 @@
      * @param heard peers that are heard and not stopping
      * @param carries whether a box does work for others
      */
-    public OneReaderPerDomain(String self, Supplier<List<Peer>> heard, Predicate<String> carries) {
+    public OneReaderPerDomainPolicy(String self, Supplier<List<Peer>> reachablePeers, Predicate<String> isHub) {
         this.self = self;
-        this.heard = heard;
-        this.carries = carries;
+        this.reachablePeers = reachablePeers;
+        this.isHub = isHub;
     }
 
     @Override
-    public boolean mine() {
-        List<Peer> peers = heard.get();
-        if (peers.stream().noneMatch(Peer::reads)) {
+    public boolean shouldRead() {
+        List<Peer> peers = reachablePeers.get();
+        if (peers.stream().noneMatch(Peer::readRecently)) {
             return true;
         }
-        if (!carries.test(self)) {
+        if (!isHub.test(self)) {
             return false;
         }
         List<String> candidates = new ArrayList<>();
         candidates.add(self);
         peers.stream()
-                .filter(peer -> peer.ownDomain() && !peer.unanswered() && carries.test(peer.boxId()))
+                .filter(peer -> peer.sameDomain() && !peer.storeUnavailable() && isHub.test(peer.boxId()))
                 .forEach(peer -> candidates.add(peer.boxId()));
-        return Rendezvous.top("endpoint-list", candidates, 1).get(0).equals(self);
+        return RendezvousHash.top("endpoint-list", candidates, 1).get(0).equals(self);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/control/ReadingDuty.java
+++ b/relay/src/main/java/org/wingstall/relay/control/ReadPolicy.java
@@ -8,10 +8,10 @@
  * @since 0.3
  */
 @FunctionalInterface
-public interface ReadingDuty {
+public interface ReadPolicy {
     /** Every box reads; the baseline. */
-    ReadingDuty EVERY_BOX = () -> true;
+    ReadPolicy ALWAYS = () -> true;
 
     /** Returns whether this box reads now. */
-    boolean mine();
+    boolean shouldRead();
 }
--- a/relay/src/main/java/org/wingstall/relay/control/RelayConfigFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayConfigFollower.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.wingstall.relay.wire.ConfigSource;
-import org.wingstall.relay.wire.OperatorNews;
+import org.wingstall.relay.wire.OperatorState;
 
 /**
  * Follows the configuration and the operators' evacuations; keeps what it has while its source does not answer. Runs on the control loop.
@@ -15,12 +15,12 @@
  */
 public final class RelayConfigFollower {
     private final EventLoop loop;
-    private final ConfigSource config;
+    private final ConfigSource source;
     private final RelayState state;
     private final EvacuationState evacuations;
     private final SourceHealth health = new SourceHealth("config");
-    private boolean readWhole = true;
-    private boolean hurrying;
+    private boolean fullReadDue = true;
+    private boolean catchUpInProgress;
 
     /**
      * Creates a follower.
@@ -30,43 +30,44 @@
      * @param state takes the configuration
      * @param evacuations takes the evacuations
      */
-    public RelayConfigFollower(EventLoop loop, ConfigSource config, RelayState state, EvacuationState evacuations) {
+    public RelayConfigFollower(EventLoop loop, ConfigSource source, RelayState state, EvacuationState evacuations) {
         this.evacuations = evacuations;
         this.loop = loop;
-        this.config = config;
+        this.source = source;
         this.state = state;
     }
 
     /** Begins to follow. */
     public void start() {
-        loop.execute(this::followConfig);
+        loop.execute(this::poll);
     }
 
-    private void followConfig() {
-        next().whenCompleteAsync(
+    private void poll() {
+        nextRead()
+                .whenCompleteAsync(
                         (news, failure) -> {
                             if (failure == null) {
-                                readWhole = false;
-                                take(news, "store");
+                                fullReadDue = false;
+                                apply(news, "store");
                             } else {
-                                readWhole = true;
+                                fullReadDue = true;
                             }
-                            health.ended(failure);
-                            long delayMs = failure == null ? 0 : repeatMs();
-                            loop.schedule(this::followConfig, delayMs, TimeUnit.MILLISECONDS);
+                            health.recordResult(failure);
+                            long delayMs = failure == null ? 0 : retryDelayMs();
+                            loop.schedule(this::poll, delayMs, TimeUnit.MILLISECONDS);
                         },
                         loop);
     }
 
-    private void take(OperatorNews news, String from) {
-        news.config().ifPresent(version -> state.offer(version, from));
-        evacuations.offer(news.evacuations(), from);
+    private void apply(OperatorState news, String from) {
+        news.config().ifPresent(version -> state.updateIfNewer(version, from));
+        evacuations.updateIfNewer(news.evacuations(), from);
     }
 
     /** A whole read that found no configuration is followed by a wait: the first version comes as a change, too. */
-    private CompletableFuture<OperatorNews> next() {
-        boolean first = readWhole && !state.config().known();
-        return first ? FirstAnswer.of(loop, () -> config.next(true)) : config.next(readWhole);
+    private CompletableFuture<OperatorState> nextRead() {
+        boolean first = fullReadDue && !state.config().known();
+        return first ? HedgedRead.start(loop, () -> source.next(true)) : source.next(fullReadDue);
     }
 
     /**
@@ -75,33 +76,33 @@
      *
      * @param version the peer's version
      */
-    public void newerHeard(long version) {
-        loop.execute(() -> hurry(version));
+    public void onNewerVersion(long version) {
+        loop.execute(() -> catchUp(version));
     }
 
-    private void hurry(long version) {
-        if (hurrying || version <= state.config().version()) {
+    private void catchUp(long version) {
+        if (catchUpInProgress || version <= state.config().version()) {
             return;
         }
-        hurrying = true;
-        config.next(true)
+        catchUpInProgress = true;
+        source.next(true)
                 .whenCompleteAsync(
                         (news, failure) -> {
                             if (failure == null) {
-                                take(news, "store, after a peer");
+                                apply(news, "store, after a peer");
                             }
-                            health.ended(failure);
-                            hurryAgainAfter(failure == null ? 0 : repeatMs());
+                            health.recordResult(failure);
+                            allowCatchUpAfter(failure == null ? 0 : retryDelayMs());
                         },
                         loop);
     }
 
     /** Peers tell of their version with every heartbeat, far more often than a store that is away should be asked. */
-    private void hurryAgainAfter(long delayMs) {
-        loop.schedule(() -> hurrying = false, delayMs, TimeUnit.MILLISECONDS);
+    private void allowCatchUpAfter(long delayMs) {
+        loop.schedule(() -> catchUpInProgress = false, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private long repeatMs() {
-        return health.repeatMs(state.config().known());
+    private long retryDelayMs() {
+        return health.retryDelayMs(state.config().known());
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/control/RelayPeers.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayPeerHost.java
@@ -13,16 +13,16 @@
 /**
  * Lends a box's state to its links with others: the version and the evacuations in force, what it read of the list, and whether it stops.
  *
- * <p>{@code new PeerMesh(options, new RelayPeers(state, evacuations, stopping, follower::newerHeard, () -> list), loop, clock)}
+ * <p>{@code new PeerMesh(options, new RelayPeerHost(state, evacuations, stopping, follower::newerHeard, () -> list), loop, clock)}
  *
  * @since 0.2
  */
-public final class RelayPeers implements PeerHost {
+public final class RelayPeerHost implements PeerHost {
     private final RelayState state;
     private final EvacuationState evacuations;
     private final BooleanSupplier stopping;
-    private final LongConsumer newerHeard;
-    private final Supplier<ListFollower> list;
+    private final LongConsumer newerVersionListener;
+    private final Supplier<ListFollower> listFollower;
 
     /**
      * Creates the host.
@@ -33,17 +33,17 @@
      * @param newerHeard told of versions of the configuration that peers have and this box has not
      * @param list how this box follows the list of endpoints
      */
-    public RelayPeers(
+    public RelayPeerHost(
             RelayState state,
             EvacuationState evacuations,
             BooleanSupplier stopping,
-            LongConsumer newerHeard,
-            Supplier<ListFollower> list) {
+            LongConsumer newerVersionListener,
+            Supplier<ListFollower> listFollower) {
         this.state = state;
         this.evacuations = evacuations;
         this.stopping = stopping;
-        this.newerHeard = newerHeard;
-        this.list = list;
+        this.newerVersionListener = newerVersionListener;
+        this.listFollower = listFollower;
     }
 
     @Override
@@ -53,7 +53,7 @@
 
     @Override
     public Heartbeat heartbeat() {
-        ListFollower follower = list.get();
+        ListFollower follower = listFollower.get();
         Evacuations evacuated = evacuations.current();
         Set<String> domains = evacuated.failureDomains();
         return new Heartbeat(
@@ -62,8 +62,8 @@
                 List.of(),
                 List.of(),
                 List.of(),
-                follower.unanswered(),
-                follower.tagReadLately(),
+                follower.sourceUnavailable(),
+                follower.freshTag(),
                 follower.listVersion(),
                 evacuated.asOfVersion(),
                 domains.isEmpty() ? null : List.copyOf(domains));
@@ -72,16 +72,16 @@
     @Override
     public boolean heard(Heartbeat heartbeat) {
         if (heartbeat.getRevision() > revision()) {
-            newerHeard.accept(heartbeat.getRevision());
+            newerVersionListener.accept(heartbeat.getRevision());
         }
         List<String> evacuated = heartbeat.getEvacuated() == null ? List.of() : heartbeat.getEvacuated();
-        evacuations.offer(new Evacuations(heartbeat.getEvacuatedAsOf(), Set.copyOf(evacuated)), "peer");
-        list.get().peerHas(heartbeat.getListTag(), heartbeat.getListVersion());
+        evacuations.updateIfNewer(new Evacuations(heartbeat.getEvacuatedAsOf(), Set.copyOf(evacuated)), "peer");
+        listFollower.get().onPeerList(heartbeat.getListTag(), heartbeat.getListVersion());
         return false;
     }
 
     @Override
     public void membersChanged(MemberNews news) {
-        list.get().newsFromPeer(news);
+        listFollower.get().onPeerChange(news);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/control/RelayState.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayState.java
@@ -30,7 +30,7 @@
      * @param from where it came from, for the log
      * @return whether it is in force now and was not before
      */
-    public boolean offer(RelayConfig offered, String from) {
+    public boolean updateIfNewer(RelayConfig offered, String from) {
         RelayConfig before = config.getAndUpdate(now -> offered.version() > now.version() ? offered : now);
         boolean newer = offered.version() > before.version();
         if (newer) {
--- a/relay/src/main/java/org/wingstall/relay/control/SourceHealth.java
+++ b/relay/src/main/java/org/wingstall/relay/control/SourceHealth.java
@@ -11,21 +11,21 @@
     private static final Logger LOG = LogManager.getLogger(SourceHealth.class);
 
     /** Pause before a read that failed first is repeated, in ms; a few reads fit into the time a change may take. */
-    private static final long FIRST_REPEAT_MS = 250;
+    private static final long BASE_RETRY_DELAY_MS = 250;
 
     /** Doublings of that pause, up to 1 s: a fleet that asks a store that is down more often only adds to its load. */
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_DOUBLINGS = 2;
 
     private final String source;
-    private volatile boolean answers = true;
-    private int failures;
+    private volatile boolean available = true;
+    private int consecutiveFailures;
 
     SourceHealth(String source) {
         this.source = source;
     }
 
-    boolean answers() {
-        return answers;
+    boolean available() {
+        return available;
     }
 
     /**
@@ -33,17 +33,17 @@
      *
      * @param known whether something was read before; a box that knows nothing asks again soon
      */
-    long repeatMs(boolean known) {
-        int doublings = known ? Math.min(MOST_DOUBLINGS, Math.max(0, failures - 1)) : 0;
-        return FIRST_REPEAT_MS << doublings;
+    long retryDelayMs(boolean known) {
+        int doublings = known ? Math.min(MAX_DOUBLINGS, Math.max(0, consecutiveFailures - 1)) : 0;
+        return BASE_RETRY_DELAY_MS << doublings;
     }
 
     /** Records the end of a read; the failure is null for one that was answered. */
-    void ended(Throwable failure) {
-        boolean before = answers;
-        answers = failure == null;
-        failures = answers ? 0 : failures + 1;
-        if (before && !answers) {
+    void recordResult(Throwable failure) {
+        boolean before = available;
+        available = failure == null;
+        consecutiveFailures = available ? 0 : consecutiveFailures + 1;
+        if (before && !available) {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
             String kind = cause instanceof SourceException known ? known.kind().name() : "unknown";
             LogEvent.warn("source-lost")
@@ -51,7 +51,7 @@
                     .with("kind", kind)
                     .cause(cause)
                     .to(LOG);
-        } else if (!before && answers) {
+        } else if (!before && available) {
             LogEvent.info("source-regained").with("source", source).to(LOG);
         }
     }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/LimitReader.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedLimitReader.java
@@ -1,7 +1,7 @@
 package org.wingstall.relay.endpoint;
 
-import org.wingstall.core.limit.StatedLimits;
-import org.wingstall.relay.wire.AnswerHead;
+import org.wingstall.core.limit.AdvertisedLimits;
+import org.wingstall.relay.wire.ResponseHead;
 
 /**
  * Reads what the answers of endpoints state of the requests that they take. Confined to the request loop.
@@ -10,17 +10,17 @@
  *
  * @since 0.9
  */
-public final class LimitReader {
-    private final StatedLimits limits;
+public final class AdvertisedLimitReader {
+    private final AdvertisedLimits limits;
 
     /** Creates a reader that records what it finds. */
-    public LimitReader(StatedLimits limits) {
+    public AdvertisedLimitReader(AdvertisedLimits limits) {
         this.limits = limits;
     }
 
     /** Returns whether an endpoint states a limit, so that only what callers want goes there. */
     public boolean limited(RelayEndpoint endpoint) {
-        return limits.limited(endpoint.key());
+        return limits.isLimited(endpoint.key());
     }
 
     /**
@@ -30,21 +30,21 @@
      * @param head head of the answer
      * @param sentMs when the request was sent, in ms of the monotonic clock
      */
-    public void seen(RelayEndpoint endpoint, AnswerHead head, long sentMs) {
+    public void readLimit(RelayEndpoint endpoint, ResponseHead head, long sentMs) {
         if (head.otherIncarnation()) {
             return;
         }
         switch (head.limit().kind()) {
-            case RATE -> limits.stated(endpoint.key(), head.limit().requestsPerSecond());
-            case UNREADABLE -> limits.statedUnreadable(endpoint.key());
+            case RATE -> limits.advertised(endpoint.key(), head.limit().requestsPerSecond());
+            case UNREADABLE -> limits.advertisedUnreadable(endpoint.key());
             case NONE -> notStated(endpoint, head, sentMs);
         }
     }
 
     /** Only an endpoint that ran the request has shown what it takes. */
-    private void notStated(RelayEndpoint endpoint, AnswerHead head, long sentMs) {
-        if (!head.notRun()) {
-            limits.notStated(endpoint.key(), sentMs);
+    private void notStated(RelayEndpoint endpoint, ResponseHead head, long sentMs) {
+        if (!head.notExecuted()) {
+            limits.notAdvertised(endpoint.key(), sentMs);
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/StatedBound.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedRateLimit.java
@@ -1,13 +1,13 @@
 package org.wingstall.relay.endpoint;
 
 import java.util.OptionalDouble;
-import org.wingstall.core.limit.StatedLimits;
-import org.wingstall.core.peer.Rendezvous;
+import org.wingstall.core.limit.AdvertisedLimits;
+import org.wingstall.core.peer.RendezvousHash;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.relay.endpoint.RateShares.FleetView;
 
 /** Bounds requests to endpoints that state in their answers how many a second they take from all boxes together. */
-final class StatedBound implements SendBound {
+final class AdvertisedRateLimit implements SendLimit {
     /** Length of the window in which requests count, in ms. */
     static final long WINDOW_MS = 4000;
 
@@ -22,14 +22,15 @@
     private static final double SPREADS_PER_WINDOW = WINDOW_MS / (double) SPREAD_MS;
 
     private final MonotonicClock clock;
-    private final StatedLimits limits;
-    private final Fleet.View fleet;
-    private final Coordination coordination;
+    private final AdvertisedLimits limits;
+    private final Fleet.Provider fleet;
+    private final CoordinationHistory coordination;
     private final RateShares coordinator = new CoordinatorShares();
-    private final RateShares aside = new AsideShares();
-    private final RateShares membership = new MembershipShares();
+    private final RateShares aside = new FallbackShares();
+    private final RateShares membership = new EqualShares();
 
-    StatedBound(MonotonicClock clock, StatedLimits limits, Fleet.View fleet, Coordination coordination) {
+    AdvertisedRateLimit(
+            MonotonicClock clock, AdvertisedLimits limits, Fleet.Provider fleet, CoordinationHistory coordination) {
         this.clock = clock;
         this.limits = limits;
         this.fleet = fleet;
@@ -37,22 +38,22 @@
     }
 
     @Override
-    public String cause() {
+    public String reason() {
         return "limit";
     }
 
     @Override
-    public boolean idle(String service) {
+    public boolean inactive(String service) {
         return limits.isEmpty();
     }
 
     @Override
-    public boolean binds(RelayEndpoint endpoint) {
+    public boolean appliesTo(RelayEndpoint endpoint) {
         return !limits.isEmpty() && limits.requestsPerSecond(endpoint.key()).isPresent();
     }
 
     @Override
-    public long waitMs(RelayEndpoint endpoint, SendLimits.Chooser chooser, RecentSends recent) {
+    public long waitMs(RelayEndpoint endpoint, SendLimits.SelectionMode chooser, RecentSends recent) {
         OptionalDouble rate = limits.requestsPerSecond(endpoint.key());
         if (rate.isEmpty()) {
             return 0;
@@ -64,29 +65,32 @@
         return Math.max(recent.waitMs(perWindow, WINDOW_MS, nowMs), recent.waitMs(perSpread, SPREAD_MS, nowMs));
     }
 
-    private RateShares shares(RelayEndpoint endpoint, SendLimits.Chooser chooser) {
-        if (chooser == SendLimits.Chooser.EACH_BOX) {
+    private RateShares shares(RelayEndpoint endpoint, SendLimits.SelectionMode chooser) {
+        if (chooser == SendLimits.SelectionMode.INDEPENDENT) {
             return membership;
         }
-        boolean forAll = chooser == SendLimits.Chooser.FOR_ALL
+        boolean forAll = chooser == SendLimits.SelectionMode.COORDINATOR
                 && fleet.coordinates(endpoint.identity().service());
         return forAll ? coordinator : aside;
     }
 
-    private FleetView view(RelayEndpoint endpoint, SendLimits.Chooser chooser) {
-        Fleet now = fleet.now();
+    private FleetView view(RelayEndpoint endpoint, SendLimits.SelectionMode chooser) {
+        Fleet now = fleet.snapshot();
         String purpose = "limit:" + endpoint.key();
-        int rank = Rendezvous.rank(purpose, now.boxes(), now.self());
+        int rank = RendezvousHash.rank(purpose, now.boxes(), now.self());
         int boxes = now.boxes().size();
-        if (chooser != SendLimits.Chooser.FOR_ALL) {
+        if (chooser != SendLimits.SelectionMode.COORDINATOR) {
             return new FleetView(boxes, rank, rank < PROBING_BOXES, 0);
         }
-        boolean probes = Coordination.heardPart(now) > MAJORITY || hearsFirst(purpose, now);
+        boolean probes = CoordinationHistory.reachableFraction(now) > MAJORITY || hearsFirst(purpose, now);
         return new FleetView(
-                boxes, rank, probes, coordination.leastPart(endpoint.identity().service()));
+                boxes,
+                rank,
+                probes,
+                coordination.minCoordinatedFraction(endpoint.identity().service()));
     }
 
     private static boolean hearsFirst(String purpose, Fleet now) {
-        return Rendezvous.top(purpose, now.boxes(), PROBING_BOXES).stream().anyMatch(now.heard()::contains);
+        return RendezvousHash.top(purpose, now.boxes(), PROBING_BOXES).stream().anyMatch(now.heard()::contains);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/Backoff.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/Backoff.java
@@ -36,26 +36,26 @@
     }
 
     /** Records a failure; returns whether it keeps the endpoint away from now on. */
-    boolean failed(long nowMs) {
+    boolean recordFailure(long nowMs) {
         State before = state.getAndUpdate(now -> now.failed(now.failures() + 1, nowMs));
         return before.failures() + 1 == FAILURES;
     }
 
     /** Records a call without any answer, which counts as several failures; returns the same. */
-    boolean stalled(long nowMs) {
+    boolean recordNoAnswer(long nowMs) {
         State before = state.getAndUpdate(now -> now.failed(Math.max(FAILURES, now.failures() + 1), nowMs));
         return before.failures() < FAILURES;
     }
 
     /** Records an answer. */
-    void answered() {
+    void reset() {
         if (state.get() != State.CLEAR) {
             state.set(State.CLEAR);
         }
     }
 
     /** Returns whether the endpoint may get work. */
-    boolean open(long nowMs) {
+    boolean allowsRequests(long nowMs) {
         return state.get().untilMs() <= nowMs;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/Coordination.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/CoordinationHistory.java
@@ -11,21 +11,21 @@
  *
  * <p>{@code coordination.sample(); ... double part = coordination.leastPart("wingstall-llm");}
  */
-final class Coordination {
+final class CoordinationHistory {
     /** Pause between two looks at the fleet, in ms; a box counts as silent after some 1,300. */
     static final long SAMPLE_MS = 250;
 
     /** Pause after which earlier looks don't count, in ms: the process stood still, and others chose meanwhile. */
-    private static final long STOOD_STILL_MS = 1000;
+    private static final long MAX_SAMPLE_GAP_MS = 1000;
 
     private final MonotonicClock clock;
-    private final Fleet.View fleet;
+    private final Fleet.Provider fleet;
     private final long windowMs;
     private final Map<String, Deque<Sample>> samples = new HashMap<>();
 
     private record Sample(long atMs, double part) {}
 
-    Coordination(MonotonicClock clock, Fleet.View fleet, long windowMs) {
+    CoordinationHistory(MonotonicClock clock, Fleet.Provider fleet, long windowMs) {
         this.clock = clock;
         this.fleet = fleet;
         this.windowMs = windowMs;
@@ -39,7 +39,7 @@
     private Deque<Sample> sample(String service) {
         Deque<Sample> known = samples.computeIfAbsent(service, name -> new ArrayDeque<>());
         long nowMs = clock.nowMs();
-        if (!known.isEmpty() && nowMs - known.peekLast().atMs() > STOOD_STILL_MS) {
+        if (!known.isEmpty() && nowMs - known.peekLast().atMs() > MAX_SAMPLE_GAP_MS) {
             known.clear();
         }
         known.addLast(new Sample(nowMs, part(service)));
@@ -48,10 +48,10 @@
     }
 
     private double part(String service) {
-        return fleet.coordinates(service) ? heardPart(fleet.now()) : 0;
+        return fleet.coordinates(service) ? reachableFraction(fleet.snapshot()) : 0;
     }
 
-    static double heardPart(Fleet now) {
+    static double reachableFraction(Fleet now) {
         return Math.min(1, now.heard().size() / (double) now.boxes().size());
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Returns the least part of the fleet that this box chose for in the window until now; 0 when it is not known. */
-    double leastPart(String service) {
+    double minCoordinatedFraction(String service) {
         Deque<Sample> known = sample(service);
         boolean whole = clock.nowMs() - known.peekFirst().atMs() >= windowMs;
         return whole ? known.stream().mapToDouble(Sample::part).min().orElse(0) : 0;
--- a/relay/src/main/java/org/wingstall/relay/endpoint/CoordinatorShares.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/CoordinatorShares.java
@@ -6,13 +6,13 @@
  * gets little until the window is over.
  */
 final class CoordinatorShares implements RateShares {
-    /** Part of the share of a box that does not hear all others: another one may choose for some of its boxes as well. */
+    /** FleetBudget of the share of a box that does not hear all others: another one may choose for some of its boxes as well. */
     private static final double OVERLAP = 0.75;
 
     @Override
     public int perWindow(double takes, FleetView view) {
-        double whole = view.coordinatedPart() < 1 ? OVERLAP : 1;
-        int requests = (int) (takes * whole * view.coordinatedPart());
-        return Math.max(requests, view.probes() ? 1 : 0);
+        double whole = view.coordinatedFraction() < 1 ? OVERLAP : 1;
+        int requests = (int) (takes * whole * view.coordinatedFraction());
+        return Math.max(requests, view.mayProbe() ? 1 : 0);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/EndpointReports.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/EndpointReports.java
@@ -14,8 +14,8 @@
 import org.wingstall.net.http.HttpReply;
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.relay.log.RelayMetrics;
+import org.wingstall.relay.wire.EndpointProtocol;
 import org.wingstall.relay.wire.EndpointReport;
-import org.wingstall.relay.wire.EndpointWire;
 import org.wingstall.schema.check.InvalidDocumentException;
 
 /**
@@ -25,7 +25,7 @@
  *
  * @since 0.5
  */
-public final class EndpointReports implements StateQuestions {
+public final class EndpointReports implements StateQueries {
     private static final Logger LOG = LogManager.getLogger(EndpointReports.class);
 
     /**
@@ -38,7 +38,7 @@
 
     private final EventLoop loop;
     private final HttpClient client;
-    private final EndpointWire wire;
+    private final EndpointProtocol wire;
     private final RelayMetrics metrics;
     private final Predicate<RelayEndpoint> spared;
     private final Map<String, List<Waiting>> asked = new HashMap<>();
@@ -58,7 +58,7 @@
     public EndpointReports(
             EventLoop loop,
             HttpClient client,
-            EndpointWire wire,
+            EndpointProtocol wire,
             RelayMetrics metrics,
             Predicate<RelayEndpoint> spared) {
         this.spared = spared;
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public boolean ask(
+    public boolean query(
             RelayEndpoint endpoint, Purpose purpose, Consumer<Optional<EndpointReport>> answered, Runnable silent) {
         if (spared.test(endpoint)) {
             return false;
@@ -77,7 +77,7 @@
         List<Waiting> waiting = asked.get(endpoint.key());
         if (waiting == null) {
             asked.put(endpoint.key(), new ArrayList<>(List.of(new Waiting(answered, silent))));
-            metrics.endpointAsked(purpose.code());
+            metrics.recordStateQuery(purpose.code());
             // Each box asks all endpoints of a stage for their room when it begins; the counter tells those.
             LogEvent line =
                     purpose == Purpose.FREE_ROOM ? LogEvent.debug("endpoint-asked") : LogEvent.info("endpoint-asked");
--- a/relay/src/main/java/org/wingstall/relay/endpoint/MembershipShares.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/EqualShares.java
@@ -4,7 +4,7 @@
  * Gives each box that is known the same share, and what is left over to the first boxes in the endpoint's order: for services
  * whose endpoints each box chooses for itself.
  */
-final class MembershipShares implements RateShares {
+final class EqualShares implements RateShares {
     @Override
     public int perWindow(double takes, FleetView view) {
         // One request in a window finds out when the endpoint is in need no longer.
--- a/relay/src/main/java/org/wingstall/relay/endpoint/Fleet.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/Fleet.java
@@ -14,14 +14,15 @@
  * @param failureDomains failure domains that have boxes
  * @since 0.9
  */
-public record Fleet(String self, List<String> boxes, List<String> heard, boolean choosesForAll, int failureDomains) {
+public record Fleet(
+        String self, List<String> boxes, List<String> heard, boolean reachesDomainMajority, int failureDomains) {
     /** Looks at the fleet. */
-    public interface View {
+    public interface Provider {
         /** Returns the fleet as it is known now. */
-        Fleet now();
+        Fleet snapshot();
 
         /** Returns whether this box has had time to learn of all others. */
-        boolean settled();
+        boolean discoveryComplete();
 
         /** Returns whether this box chooses the endpoints of a service for all boxes that it hears. */
         boolean coordinates(String service);
--- a/relay/src/main/java/org/wingstall/relay/endpoint/RateShares.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/RateShares.java
@@ -15,7 +15,7 @@
      * @param probes whether it may always send one request, so that the end of the endpoint's need is found out
      * @param coordinatedPart least part of the boxes that it chose for at any moment of the last window; 0 when it began within
      */
-    record FleetView(int boxes, int rank, boolean probes, double coordinatedPart) {}
+    record FleetView(int boxes, int rank, boolean mayProbe, double coordinatedFraction) {}
 
     /**
      * Returns the requests that a box may send, or have others send, in any window.
--- a/relay/src/main/java/org/wingstall/relay/endpoint/RecentSends.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/RecentSends.java
@@ -14,7 +14,7 @@
 
     private final Deque<Long> sentAtMs = new ArrayDeque<>();
 
-    void sent(long nowMs) {
+    void record(long nowMs) {
         sentAtMs.addLast(nowMs);
         while (nowMs - sentAtMs.peekFirst() > LONGEST_MS || sentAtMs.size() > MOST_REMEMBERED) {
             sentAtMs.removeFirst();
@@ -22,7 +22,7 @@
     }
 
     /** Returns whether the last send is so long ago that none counts any more. */
-    boolean over(long nowMs) {
+    boolean expired(long nowMs) {
         return sentAtMs.isEmpty() || nowMs - sentAtMs.peekLast() > LONGEST_MS;
     }
 
--- a/relay/src/main/java/org/wingstall/relay/endpoint/RelayEndpoint.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/RelayEndpoint.java
@@ -8,7 +8,7 @@
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.http.TransportException;
 import org.wingstall.net.log.LogEvent;
-import org.wingstall.relay.config.ColdSpec;
+import org.wingstall.relay.config.ColdStartSpec;
 
 /**
  * An endpoint: what the list says it can do, and what this box has seen of it. Safe for use on any thread.
@@ -72,7 +72,7 @@
 
     /** Returns whether new work may go there: it is not leaving and has not just failed several times in a row. */
     public boolean usable() {
-        return !state.leaving() && backoff.open(clock.nowMs());
+        return !state.leaving() && backoff.allowsRequests(clock.nowMs());
     }
 
     /** Records that it may have started anew out of sight, so that it counts as if it had just started. */
@@ -93,49 +93,49 @@
     }
 
     /** Returns whether it is cold, as reported by the endpoint or since it started a short while ago. */
-    boolean cold(ColdSpec spec, long nowMs) {
-        return nowMs < warmth.coldUntilMs() || nowMs - startedAtMs < spec.startMs();
+    boolean cold(ColdStartSpec spec, long nowMs) {
+        return nowMs < warmth.coldUntilMs() || nowMs - startedAtMs < spec.durationMs();
     }
 
     /** Records a call that was answered. */
-    public void answered(double runMs) {
-        backoff.answered();
-        state.completed(runMs);
+    public void recordAnswer(double runMs) {
+        backoff.reset();
+        state.recordSuccess(runMs);
     }
 
     /** Records a call that failed there; a few in a row keep new work away. */
-    public void failed(String why) {
-        noteAvoided(backoff.failed(clock.nowMs()), why);
+    public void recordFailure(String why) {
+        noteAvoided(backoff.recordFailure(clock.nowMs()), why);
     }
 
     /**
      * Records a call that got no whole answer. One without a connection or in time counts like one without any
      * answer: the endpoint has ended or is cut off, and each further call would wait as long.
      */
-    public void broken(TransportException failure) {
+    public void recordTransportFailure(TransportException failure) {
         boolean silent =
                 failure.kind() == TransportException.Kind.CONNECT || failure.kind() == TransportException.Kind.TIMEOUT;
         if (silent) {
-            stalled(failure.getMessage());
+            recordNoAnswer(failure.getMessage());
         } else {
-            failed(failure.getMessage());
+            recordFailure(failure.getMessage());
         }
     }
 
     /** Records a call that was not answered at all: new work stays away at once, since each call costs its time. */
-    public void stalled(String why) {
-        noteAvoided(backoff.stalled(clock.nowMs()), why);
+    public void recordNoAnswer(String why) {
+        noteAvoided(backoff.recordNoAnswer(clock.nowMs()), why);
         onSilence.accept(this);
     }
 
     /** Records that it is silent still. */
     void recordUnreachable() {
-        backoff.stalled(clock.nowMs());
+        backoff.recordNoAnswer(clock.nowMs());
     }
 
     /** Records a sign of life other than an answer to a call; new work may go there again. */
     void markReachable() {
-        backoff.answered();
+        backoff.reset();
     }
 
     private void noteAvoided(boolean avoidedNow, String why) {
--- a/relay/src/main/java/org/wingstall/relay/endpoint/RelayEndpoints.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/RelayEndpoints.java
@@ -67,18 +67,18 @@
     }
 
     /** Says who is told, on the thread of the call, of each endpoint that gave no answer. */
-    public void onSilence(Consumer<RelayEndpoint> listener) {
+    public void setSilenceListener(Consumer<RelayEndpoint> listener) {
         silenceListener = listener;
     }
 
     /** Returns whether a list has been read. */
-    public boolean known() {
+    public boolean listLoaded() {
         return readAtMs != Long.MIN_VALUE;
     }
 
     /** Returns the time since the list was read or found unchanged, in ms. */
     public long ageMs() {
-        return known() ? clock.nowMs() - readAtMs : -1;
+        return listLoaded() ? clock.nowMs() - readAtMs : -1;
     }
 
     /**
@@ -108,11 +108,13 @@
 
     /** Returns the failure domain of the endpoint at an address; empty when none is known there. */
     public String domainAt(InetSocketAddress address) {
-        return at(address).map(endpoint -> endpoint.identity().failureDomain()).orElse("");
+        return findByAddress(address)
+                .map(endpoint -> endpoint.identity().failureDomain())
+                .orElse("");
     }
 
     /** Returns the endpoint at an address. */
-    public Optional<RelayEndpoint> at(InetSocketAddress address) {
+    public Optional<RelayEndpoint> findByAddress(InetSocketAddress address) {
         return Optional.ofNullable(byAddress.get(address));
     }
 
@@ -127,7 +129,7 @@
     }
 
     /** Records that the list could not be read. */
-    public synchronized void unread() {
+    public synchronized void markListUnavailable() {
         away = true;
     }
 
@@ -145,7 +147,7 @@
             backAtMs = nowMs;
         }
         Set<Incarnation> servingBefore = serving();
-        boolean first = !known();
+        boolean first = !listLoaded();
         Map<String, RelayEndpoint> next = new HashMap<>();
         for (Member member : members) {
             next.put(member.getMemberId(), endpointOf(member));
@@ -187,8 +189,8 @@
     }
 
     /** Records that the list is as a box has just read it. */
-    public void confirmed() {
-        if (known()) {
+    public void markListCurrent() {
+        if (listLoaded()) {
             readAtMs = clock.nowMs();
         }
     }
@@ -235,7 +237,7 @@
         if (leaving.contains(Incarnation.of(endpoint))) {
             state.markLeaving();
         }
-        if (before == null && known()) {
+        if (before == null && listLoaded()) {
             LogEvent.info("endpoint-listed")
                     .with("endpoint", endpoint.id())
                     .with("service", endpoint.identity().service())
@@ -247,7 +249,7 @@
 
     /** Endpoints of the first list were there before, and their entries tell whether they are cold. */
     private RelayEndpoint newEndpoint(EndpointState state, Member member) {
-        long startedAtMs = known() ? clock.nowMs() : LONG_AGO_MS;
+        long startedAtMs = listLoaded() ? clock.nowMs() : LONG_AGO_MS;
         return new RelayEndpoint(state, member.getSlots(), clock, this::silent, startedAtMs);
     }
 
--- a/relay/src/main/java/org/wingstall/relay/endpoint/SendBound.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/SendLimit.java
@@ -6,16 +6,16 @@
  *
  * <p>{@code if (bound.binds(endpoint) && bound.waitMs(endpoint, chooser, recent) > 0) { chooseAnother(); }}
  */
-interface SendBound {
+interface SendLimit {
     /** Returns the reason for the bound as metrics name it. */
-    String cause();
+    String reason();
 
     /** Returns whether nothing is bounded, without a look at any endpoint. */
-    boolean idle(String service);
+    boolean inactive(String service);
 
     /** Returns whether an endpoint is bounded now. */
-    boolean binds(RelayEndpoint endpoint);
+    boolean appliesTo(RelayEndpoint endpoint);
 
     /** Returns the time until a bounded endpoint may be sent one more request, in ms; 0 for now. */
-    long waitMs(RelayEndpoint endpoint, SendLimits.Chooser chooser, RecentSends recent);
+    long waitMs(RelayEndpoint endpoint, SendLimits.SelectionMode chooser, RecentSends recent);
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/SendLimits.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/SendLimits.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.wingstall.core.limit.StatedLimits;
+import org.wingstall.core.limit.AdvertisedLimits;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.PeriodicTask;
-import org.wingstall.relay.config.ColdSpec;
+import org.wingstall.relay.config.ColdStartSpec;
 import org.wingstall.relay.log.RelayMetrics;
 
 /**
  * Keeps what this box sends, or has others send, to endpoints within its share of their capacity, where that is reduced: those that
  * are cold, and those that state a limit. Where both hold the stricter one does. Confined to the request loop.
  *
- * <p>{@code List<RelayEndpoint> open = limits.open(candidates, Chooser.FOR_ALL); ... limits.sent(chosen);}
+ * <p>{@code List<RelayEndpoint> open = limits.open(candidates, SelectionMode.FOR_ALL); ... limits.sent(chosen);}
  *
  * @since 0.8
  */
@@ -29,20 +29,20 @@
     private static final RecentSends NO_SENDS = new RecentSends();
 
     private final MonotonicClock clock;
-    private final List<SendBound> bounds;
-    private final Fleet.View fleet;
-    private final Coordination coordination;
+    private final List<SendLimit> bounds;
+    private final Fleet.Provider fleet;
+    private final CoordinationHistory coordination;
     private final RelayMetrics metrics;
     private final Map<String, RecentSends> sends = new HashMap<>();
 
     /** For whom an endpoint is chosen. */
-    public enum Chooser {
+    public enum SelectionMode {
         /** One box chooses for all that hear it, and this is it. */
-        FOR_ALL,
+        COORDINATOR,
         /** This box chooses for itself, because the box that chooses for all did not answer. */
-        ALONE,
+        FALLBACK,
         /** Every box chooses for itself. */
-        EACH_BOX
+        INDEPENDENT
     }
 
     /**
@@ -51,16 +51,16 @@
      * @param factor factor on its rate; 0 when cold endpoints are not bounded
      * @param tolerance requests in a second beyond that
      */
-    public record ColdOverrun(double factor, double tolerance) {}
+    public record ColdStartBurst(double factor, double tolerance) {}
 
     /** Builds limits; {@code SendLimits.builder(clock, fleet).stated(limits).build(metrics)}. */
     public static final class Builder {
         private final MonotonicClock clock;
-        private final Fleet.View fleet;
-        private final Coordination coordination;
-        private final List<SendBound> bounds = new ArrayList<>();
+        private final Fleet.Provider fleet;
+        private final CoordinationHistory coordination;
+        private final List<SendLimit> bounds = new ArrayList<>();
 
-        private Builder(MonotonicClock clock, Fleet.View fleet, Coordination coordination) {
+        private Builder(MonotonicClock clock, Fleet.Provider fleet, CoordinationHistory coordination) {
             this.clock = clock;
             this.fleet = fleet;
             this.coordination = coordination;
@@ -74,9 +74,11 @@
          * @param shares divides it among boxes
          * @return this
          */
-        public Builder cold(
-                Function<String, Optional<ColdSpec>> specs, Supplier<ColdOverrun> overrun, ColdShares shares) {
-            bounds.add(new ColdBound(clock, specs, overrun, fleet, shares));
+        public Builder limitColdStarts(
+                Function<String, Optional<ColdStartSpec>> specs,
+                Supplier<ColdStartBurst> overrun,
+                ColdStartShares shares) {
+            bounds.add(new ColdStartLimit(clock, specs, overrun, fleet, shares));
             return this;
         }
 
@@ -86,8 +88,8 @@
          * @param limits what they state
          * @return this
          */
-        public Builder stated(StatedLimits limits) {
-            bounds.add(new StatedBound(clock, limits, fleet, coordination));
+        public Builder limitAdvertised(AdvertisedLimits limits) {
+            bounds.add(new AdvertisedRateLimit(clock, limits, fleet, coordination));
             return this;
         }
 
@@ -111,17 +113,17 @@
      * @param clock monotonic clock
      * @param fleet the fleet as this box knows it
      */
-    public static Builder builder(MonotonicClock clock, Fleet.View fleet) {
-        return builder(clock, fleet, new Coordination(clock, fleet, StatedBound.WINDOW_MS));
+    public static Builder builder(MonotonicClock clock, Fleet.Provider fleet) {
+        return builder(clock, fleet, new CoordinationHistory(clock, fleet, AdvertisedRateLimit.WINDOW_MS));
     }
 
-    static Builder builder(MonotonicClock clock, Fleet.View fleet, Coordination coordination) {
+    static Builder builder(MonotonicClock clock, Fleet.Provider fleet, CoordinationHistory coordination) {
         return new Builder(clock, fleet, coordination);
     }
 
     /** Begins to follow for which part of the fleet this box chooses. */
     public void start(EventLoop loop) {
-        PeriodicTask.start(loop, "coordination", () -> Coordination.SAMPLE_MS, coordination::sample);
+        PeriodicTask.start(loop, "coordination", () -> CoordinationHistory.SAMPLE_MS, coordination::sample);
     }
 
     /**
@@ -132,64 +134,64 @@
      * @param chooser for whom one of them is chosen
      * @return those that are not bounded, and bounded ones within this box's share
      */
-    public List<RelayEndpoint> open(List<RelayEndpoint> candidates, Chooser chooser) {
+    public List<RelayEndpoint> withinLimits(List<RelayEndpoint> candidates, SelectionMode chooser) {
         if (candidates.isEmpty() || idle(candidates.get(0).identity().service())) {
             return candidates;
         }
         List<RelayEndpoint> unbounded =
-                candidates.stream().filter(endpoint -> !bounded(endpoint)).toList();
+                candidates.stream().filter(endpoint -> !limited(endpoint)).toList();
         if (unbounded.size() == candidates.size()) {
             return candidates;
         }
-        if (!fleet.settled() && !unbounded.isEmpty()) {
+        if (!fleet.discoveryComplete() && !unbounded.isEmpty()) {
             return unbounded;
         }
         return candidates.stream().filter(endpoint -> isOpen(endpoint, chooser)).toList();
     }
 
-    private boolean isOpen(RelayEndpoint endpoint, Chooser chooser) {
-        Optional<SendBound> closed = bounds.stream()
+    private boolean isOpen(RelayEndpoint endpoint, SelectionMode chooser) {
+        Optional<SendLimit> closed = bounds.stream()
                 .filter(bound -> waitMs(bound, endpoint, chooser) > 0)
                 .findFirst();
-        closed.ifPresent(bound -> metrics.heldBack(bound.cause()));
+        closed.ifPresent(bound -> metrics.recordLimitedEndpoint(bound.reason()));
         return closed.isEmpty();
     }
 
     private boolean idle(String service) {
-        return bounds.stream().allMatch(bound -> bound.idle(service));
+        return bounds.stream().allMatch(bound -> bound.inactive(service));
     }
 
     /** Returns the time after which one of these endpoints may be sent a request, in ms; 0 for now. */
-    public long againMs(List<RelayEndpoint> candidates, Chooser chooser) {
+    public long retryAfterMs(List<RelayEndpoint> candidates, SelectionMode chooser) {
         return candidates.stream()
                 .mapToLong(endpoint -> waitMs(endpoint, chooser))
                 .min()
                 .orElse(0);
     }
 
-    private long waitMs(RelayEndpoint endpoint, Chooser chooser) {
+    private long waitMs(RelayEndpoint endpoint, SelectionMode chooser) {
         return bounds.stream()
                 .mapToLong(bound -> waitMs(bound, endpoint, chooser))
                 .max()
                 .orElse(0);
     }
 
-    private long waitMs(SendBound bound, RelayEndpoint endpoint, Chooser chooser) {
+    private long waitMs(SendLimit bound, RelayEndpoint endpoint, SelectionMode chooser) {
         RecentSends recent = sends.getOrDefault(endpoint.key(), NO_SENDS);
-        return bound.binds(endpoint) ? bound.waitMs(endpoint, chooser, recent) : 0;
+        return bound.appliesTo(endpoint) ? bound.waitMs(endpoint, chooser, recent) : 0;
     }
 
     /** Returns whether an endpoint has reduced capacity now. */
-    public boolean bounded(RelayEndpoint endpoint) {
-        return bounds.stream().anyMatch(bound -> bound.binds(endpoint));
+    public boolean limited(RelayEndpoint endpoint) {
+        return bounds.stream().anyMatch(bound -> bound.appliesTo(endpoint));
     }
 
     /** Records that an endpoint is sent a request now, by this box or by one that asked it. */
-    public void sent(RelayEndpoint endpoint) {
+    public void recordSend(RelayEndpoint endpoint) {
         long nowMs = clock.nowMs();
-        sends.computeIfAbsent(endpoint.key(), key -> new RecentSends()).sent(nowMs);
+        sends.computeIfAbsent(endpoint.key(), key -> new RecentSends()).record(nowMs);
         if (sends.size() > MOST_REMEMBERED) {
-            sends.values().removeIf(recent -> recent.over(nowMs));
+            sends.values().removeIf(recent -> recent.expired(nowMs));
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/SilenceWatch.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/SilenceWatch.java
@@ -16,7 +16,7 @@
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.PeriodicTask;
 import org.wingstall.net.log.LogEvent;
-import org.wingstall.relay.endpoint.StateQuestions.Purpose;
+import org.wingstall.relay.endpoint.StateQueries.Purpose;
 
 /**
  * Finds out silent endpoints together, and when they answer again. The load that it answers is a failure domain that is cut
@@ -55,7 +55,7 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final RelayEndpoints endpoints;
-    private final StateQuestions reports;
+    private final StateQueries reports;
     private final Predicate<String> answersReports;
     private final Consumer<RelayEndpoint> abandon;
     private final Supplier<Set<String>> silentDomains;
@@ -87,7 +87,7 @@
             EventLoop loop,
             MonotonicClock clock,
             RelayEndpoints endpoints,
-            StateQuestions reports,
+            StateQueries reports,
             Predicate<String> answersReports,
             Consumer<RelayEndpoint> abandon,
             Supplier<Set<String>> silentDomains) {
@@ -102,7 +102,7 @@
 
     /** Begins to hear of silent endpoints and boxes. */
     public void start() {
-        endpoints.onSilence(this::silent);
+        endpoints.setSilenceListener(this::silent);
         PeriodicTask.start(loop, "silent-domains", () -> BOXES_CHECK_MS, this::lookAtBoxes);
     }
 
@@ -131,15 +131,15 @@
      * @param endpoint the endpoint
      * @param silent what to do when it doesn't answer
      */
-    public void doubt(RelayEndpoint endpoint, Runnable silent) {
+    public void checkSuspect(RelayEndpoint endpoint, Runnable silent) {
         long nowMs = clock.nowMs();
         doubtedAtMs.values().removeIf(atMs -> nowMs - atMs >= DOUBT_AGAIN_MS);
         if (doubtedAtMs.containsKey(endpoint.key()) || !endpoint.usable() || !asks(endpoint)) {
             return;
         }
         doubtedAtMs.put(endpoint.key(), nowMs);
-        reports.ask(endpoint, Purpose.OVERDUE_ANSWER, report -> {}, () -> {
-            endpoint.stalled("an answer is overdue and it doesn't tell its state");
+        reports.query(endpoint, Purpose.OVERDUE_ANSWER, report -> {}, () -> {
+            endpoint.recordNoAnswer("an answer is overdue and it doesn't tell its state");
             silent.run();
         });
     }
@@ -159,7 +159,7 @@
             cutOff.remove(endpoint.identity().failureDomain());
             return;
         }
-        boolean asked = reports.ask(endpoint, Purpose.SILENT_ENDPOINT, report -> markReachable(endpoint), () -> {
+        boolean asked = reports.query(endpoint, Purpose.SILENT_ENDPOINT, report -> markReachable(endpoint), () -> {
             recordUnreachable(endpoint);
             follow(endpoint, Math.min(MOST_MS, 2 * delayMs));
         });
@@ -204,7 +204,7 @@
         DomainQuestions questions = new DomainQuestions();
         questions.open = others.size();
         for (RelayEndpoint other : others) {
-            boolean asked = reports.ask(
+            boolean asked = reports.query(
                     other,
                     Purpose.SILENT_DOMAIN,
                     report -> {
@@ -212,7 +212,7 @@
                         ended(failureDomain, questions);
                     },
                     () -> {
-                        other.stalled("silent like another endpoint of its failure domain");
+                        other.recordNoAnswer("silent like another endpoint of its failure domain");
                         questions.silent++;
                         ended(failureDomain, questions);
                     });
@@ -231,7 +231,7 @@
                     .with("domain", failureDomain)
                     .with("silent", questions.silent)
                     .to(LOG);
-            notAsked(failureDomain).forEach(endpoint -> endpoint.stalled("its failure domain is silent"));
+            notAsked(failureDomain).forEach(endpoint -> endpoint.recordNoAnswer("its failure domain is silent"));
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/StateQuestions.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/StateQueries.java
@@ -13,7 +13,7 @@
  * @since 0.5
  */
 @FunctionalInterface
-public interface StateQuestions {
+public interface StateQueries {
     /** Why an endpoint is asked. */
     enum Purpose {
         /** Its answer to a request is overdue. */
@@ -42,5 +42,6 @@
      * @param silent told when no answer came
      * @return whether it is asked; one that states a limit is not, since questions count as requests
      */
-    boolean ask(RelayEndpoint endpoint, Purpose purpose, Consumer<Optional<EndpointReport>> answered, Runnable silent);
+    boolean query(
+            RelayEndpoint endpoint, Purpose purpose, Consumer<Optional<EndpointReport>> answered, Runnable silent);
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineTicket.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineAssignment.java
@@ -12,8 +12,8 @@
  *
  * @since 0.4
  */
-public final class EngineTicket {
-    private final EngineLedger.Choice choice;
+public final class EngineAssignment {
+    private final EngineLoadBalancer.Choice choice;
     private final String chooser;
     private final int ownTokens;
     private final MonotonicClock clock;
@@ -24,11 +24,15 @@
     /** Told once what became of the request. */
     interface OutcomeListener {
         /** The first sign of an answer came after so many ms; below 0 when the engine could not be reached. */
-        void ended(EngineTicket ticket, long firstAnswerMs);
+        void ended(EngineAssignment ticket, long firstAnswerMs);
     }
 
-    EngineTicket(
-            EngineLedger.Choice choice, String chooser, int ownTokens, MonotonicClock clock, OutcomeListener listener) {
+    EngineAssignment(
+            EngineLoadBalancer.Choice choice,
+            String chooser,
+            int ownTokens,
+            MonotonicClock clock,
+            OutcomeListener listener) {
         this.choice = choice;
         this.chooser = chooser;
         this.ownTokens = ownTokens;
@@ -43,13 +47,13 @@
     }
 
     /** Returns the box that chose it; null for this one. */
-    public String chooser() {
+    public String coordinator() {
         return chooser;
     }
 
     /** Returns what was expected of it. */
-    public EngineExpectation expectation() {
-        return choice.expectation();
+    public EngineEstimate estimate() {
+        return choice.estimate();
     }
 
     /** Returns an engine that keeps parts of the prompt which the chosen one lacks, or null. */
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineLoad.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineLoad.java
@@ -17,21 +17,21 @@
 
     private final long incarnation;
     private final EngineSpeed speed;
-    private final EngineMemory memory;
+    private final PrefixCacheModel prefixCache;
     private double readUntilMs;
     private double running;
     private double runningAsOfMs;
-    private double slowness = 1;
+    private double slowdown = 1;
 
-    EngineLoad(long incarnation, EngineSpeed speed, EngineMemory memory) {
+    EngineLoad(long incarnation, EngineSpeed speed, PrefixCacheModel memory) {
         this.incarnation = incarnation;
         this.speed = speed;
-        this.memory = memory;
+        this.prefixCache = memory;
     }
 
     /** Returns what of prompts it keeps. */
-    EngineMemory memory() {
-        return memory;
+    PrefixCacheModel prefixCache() {
+        return prefixCache;
     }
 
     /** Returns the incarnation of the engine that this is about. */
@@ -40,13 +40,13 @@
     }
 
     /** Returns the time that it takes to read so many tokens, in ms. */
-    double readMs(int tokens) {
-        return slowness() * speed.readMs(tokens);
+    double prefillMs(int tokens) {
+        return slowdown() * speed.prefillMs(tokens);
     }
 
     /** Returns the time from the end of reading to the first event beside what runs there, in ms. */
-    double firstStepsMs(long nowMs) {
-        return speed.firstStepsMs() + slowness() * speed.besideMs() * running(nowMs);
+    double firstDecodeMs(long nowMs) {
+        return speed.firstDecodeMs() + slowdown() * speed.concurrencyPenaltyMs() * running(nowMs);
     }
 
     /** Returns the time until the prompts that it was given are read, in ms. */
@@ -60,22 +60,22 @@
     }
 
     /** Returns how many times as long as expected its first answers take, at least 1. */
-    double slowness() {
-        return Math.max(1, slowness);
+    double slowdown() {
+        return Math.max(1, slowdown);
     }
 
     /** Records a prompt that it is given now, and of the tokens that it has to read. */
-    void given(Prompt prompt, int readTokens, long nowMs) {
-        readUntilMs = Math.max(nowMs, readUntilMs) + readMs(readTokens);
-        memory.remember(prompt, (long) readUntilMs);
+    void recordAssigned(Prompt prompt, int readTokens, long nowMs) {
+        readUntilMs = Math.max(nowMs, readUntilMs) + prefillMs(readTokens);
+        prefixCache.add(prompt, (long) readUntilMs);
         running = running(nowMs) + 1;
         runningAsOfMs = nowMs;
     }
 
     /** Records the time that a first answer took. */
-    void answered(EngineExpectation expected, long tookMs) {
+    void recordFirstAnswer(EngineEstimate expected, long tookMs) {
         double ratio = Math.min(MOST_SLOWNESS, tookMs / (double) Math.max(1, expected.firstAnswerMs()));
-        slowness += NEW_WEIGHT * (ratio - slowness);
-        speed.answered(expected.readTokens(), tookMs - expected.waitMs());
+        slowdown += NEW_WEIGHT * (ratio - slowdown);
+        speed.recordFirstAnswer(expected.prefillTokens(), tookMs - expected.waitMs());
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineLedger.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineLoadBalancer.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.wingstall.core.peer.Rendezvous;
+import org.wingstall.core.peer.RendezvousHash;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.relay.config.EngineSpec;
 import org.wingstall.relay.endpoint.RelayEndpoint;
@@ -17,11 +17,11 @@
  * to be read there, what of this prompt it keeps or can fetch, what runs beside, and how slow it has been. Confined to the
  * request loop.
  *
- * <p>{@code ledger.choose(new Wanted(engines, prompt, Inputs.NONE, Optional.empty())).endpoint()}
+ * <p>{@code ledger.choose(new SelectionContext(engines, prompt, Inputs.NONE, Optional.empty())).endpoint()}
  *
  * @since 0.4
  */
-final class EngineLedger {
+final class EngineLoadBalancer {
     /**
      * What reading a shared part once more costs beside its time, in parts of that time: other prompts wait for it as well.
      * At 0 twice as many tokens were read again as without a common choice.
@@ -71,10 +71,10 @@
      * @param targetMs time left until its first answer is wanted, in ms
      * @param spec what the engines can do, where the configuration says so
      */
-    record Wanted(
+    record SelectionContext(
             List<RelayEndpoint> candidates,
             Prompt prompt,
-            EngineInputs inputs,
+            InputLocation inputs,
             long targetMs,
             Optional<EngineSpec> spec) {}
 
@@ -85,7 +85,7 @@
      * @param expectation what is expected of it
      * @param fetchFrom engine that keeps parts of the prompt which the chosen one lacks, or null
      */
-    record Choice(RelayEndpoint endpoint, EngineExpectation expectation, InetSocketAddress fetchFrom) {}
+    record Choice(RelayEndpoint endpoint, EngineEstimate estimate, InetSocketAddress fetchFrom) {}
 
     /** What sending a prompt to an engine costs: its parts, the time until its first event, and that with what others lose. */
     private record Cost(
@@ -105,16 +105,16 @@
      * @param clock monotonic clock
      * @param spared whether an engine states a limit, so that others don't fetch from it
      */
-    EngineLedger(MonotonicClock clock, Predicate<RelayEndpoint> spared) {
+    EngineLoadBalancer(MonotonicClock clock, Predicate<RelayEndpoint> spared) {
         this.spared = spared;
         this.clock = clock;
     }
 
     /** Chooses an engine and records what it is given. */
-    Choice choose(Wanted wanted) {
+    Choice choose(SelectionContext wanted) {
         long nowMs = clock.nowMs();
         Keeper keeper = keeperOf(wanted, nowMs);
-        String home = unread(wanted) ? homeOf(wanted.candidates(), wanted.prompt()) : "";
+        String home = unread(wanted) ? preferredEngine(wanted.candidates(), wanted.prompt()) : "";
         Cost best = null;
         for (RelayEndpoint candidate : wanted.candidates()) {
             Cost cost = cost(candidate, wanted, home, keeper, nowMs);
@@ -123,26 +123,26 @@
             }
         }
         EngineLoad load = loadOf(best.endpoint(), wanted.spec());
-        load.given(wanted.prompt(), best.readTokens(), nowMs);
+        load.recordAssigned(wanted.prompt(), best.readTokens(), nowMs);
         RelayEndpoint from = best.fetch().keeper();
-        EngineExpectation expectation =
-                new EngineExpectation(Math.round(best.firstMs()), (int) best.waitMs(), best.readTokens());
+        EngineEstimate expectation =
+                new EngineEstimate(Math.round(best.firstMs()), (int) best.waitMs(), best.readTokens());
         return new Choice(
                 best.endpoint(), expectation, from == null ? null : from.state().address());
     }
 
     /** Returns whether no engine was given the shared parts through this box; then their home is the best guess. */
-    private boolean unread(Wanted wanted) {
+    private boolean unread(SelectionContext wanted) {
         int shared = wanted.prompt().tokens().size() - 1;
         return wanted.candidates().stream()
-                .noneMatch(
-                        candidate -> loadOf(candidate, wanted.spec()).memory().given(wanted.prompt()) >= shared);
+                .noneMatch(candidate ->
+                        loadOf(candidate, wanted.spec()).prefixCache().assignedParts(wanted.prompt()) >= shared);
     }
 
-    private Keeper keeperOf(Wanted wanted, long nowMs) {
+    private Keeper keeperOf(SelectionContext wanted, long nowMs) {
         Keeper most = new Keeper(null, 0);
         for (RelayEndpoint candidate : wanted.candidates()) {
-            int parts = loadOf(candidate, wanted.spec()).memory().read(wanted.prompt(), nowMs);
+            int parts = loadOf(candidate, wanted.spec()).prefixCache().prefilledParts(wanted.prompt(), nowMs);
             if (parts > most.parts() && !spared.test(candidate)) {
                 most = new Keeper(candidate, parts);
             }
@@ -150,20 +150,22 @@
         return most;
     }
 
-    private Cost cost(RelayEndpoint candidate, Wanted wanted, String home, Keeper keeper, long nowMs) {
+    private Cost cost(RelayEndpoint candidate, SelectionContext wanted, String home, Keeper keeper, long nowMs) {
         EngineLoad load = loadOf(candidate, wanted.spec());
         Prompt prompt = wanted.prompt();
         int shared = prompt.tokens().size() - 1;
-        int warm = Math.max(load.memory().given(prompt), candidate.id().equals(home) ? shared : 0);
+        int warm = Math.max(
+                load.prefixCache().assignedParts(prompt), candidate.id().equals(home) ? shared : 0);
         Fetch fetch = fetch(candidate, wanted, warm, keeper, load);
         int readTokens = prompt.tokensFrom(warm) - fetch.tokens();
-        double readMs = load.readMs(readTokens);
-        double againMs = READ_AGAIN * Math.max(0, readMs - load.readMs(prompt.ownTokens()));
+        double readMs = load.prefillMs(readTokens);
+        double againMs = READ_AGAIN * Math.max(0, readMs - load.prefillMs(prompt.ownTokens()));
         double waitMs = load.waitMs(nowMs);
-        double farMs =
-                wanted.inputs().extraMs(candidate.identity().failureDomain(), FAR_MS, FAR_MS_PER_MB / BYTES_PER_MB);
-        double firstMs = waitMs + fetch.takesMs() + readMs + load.firstStepsMs(nowMs) + farMs;
-        double dearMs = wanted.inputs().extraMs(candidate.identity().failureDomain(), 0, DEAR_MS_PER_MB / BYTES_PER_MB);
+        double farMs = wanted.inputs()
+                .remoteCostMs(candidate.identity().failureDomain(), FAR_MS, FAR_MS_PER_MB / BYTES_PER_MB);
+        double firstMs = waitMs + fetch.takesMs() + readMs + load.firstDecodeMs(nowMs) + farMs;
+        double dearMs =
+                wanted.inputs().remoteCostMs(candidate.identity().failureDomain(), 0, DEAR_MS_PER_MB / BYTES_PER_MB);
         double wholeMs = timeCostMs(firstMs, wanted.targetMs()) + againMs + dearMs;
         return new Cost(candidate, readTokens, waitMs, firstMs, wholeMs, fetch);
     }
@@ -174,8 +176,9 @@
     }
 
     /** Fetching is worth it when it takes less time than reading. */
-    private static Fetch fetch(RelayEndpoint candidate, Wanted wanted, int warm, Keeper keeper, EngineLoad load) {
-        boolean can = wanted.spec().map(EngineSpec::fetches).orElse(false)
+    private static Fetch fetch(
+            RelayEndpoint candidate, SelectionContext wanted, int warm, Keeper keeper, EngineLoad load) {
+        boolean can = wanted.spec().map(EngineSpec::canFetch).orElse(false)
                 && keeper.endpoint() != null
                 && keeper.endpoint() != candidate
                 && keeper.parts() > warm;
@@ -187,23 +190,23 @@
         String keeperDomain = keeper.endpoint().identity().failureDomain();
         boolean near = keeperDomain.equals(candidate.identity().failureDomain());
         double takesMs = FETCH_SETUP_MS + wanted.spec().get().fetchMs(tokens) * (near ? 1 : FAR_FETCH);
-        return takesMs < load.readMs(tokens) ? new Fetch(keeper.endpoint(), tokens, takesMs) : Fetch.NONE;
+        return takesMs < load.prefillMs(tokens) ? new Fetch(keeper.endpoint(), tokens, takesMs) : Fetch.NONE;
     }
 
     /** Returns the engine that all boxes prefer for the last part that may be shared. */
-    static String homeOf(List<RelayEndpoint> candidates, Prompt prompt) {
+    static String preferredEngine(List<RelayEndpoint> candidates, Prompt prompt) {
         if (prompt.shared().isEmpty()) {
             return "";
         }
         List<String> ids = candidates.stream().map(RelayEndpoint::id).toList();
-        return Rendezvous.top(prompt.shared(), ids, 1).get(0);
+        return RendezvousHash.top(prompt.shared(), ids, 1).get(0);
     }
 
     /** Records the time that the first answer of an engine took. */
-    void answered(RelayEndpoint engine, EngineExpectation expected, long tookMs) {
+    void recordFirstAnswer(RelayEndpoint engine, EngineEstimate expected, long tookMs) {
         EngineLoad load = loads.get(engine.id());
         if (load != null && load.incarnation() == engine.identity().incarnation()) {
-            load.answered(expected, tookMs);
+            load.recordFirstAnswer(expected, tookMs);
         }
     }
 
@@ -217,8 +220,8 @@
         EngineLoad known = loads.get(engine.id());
         if (known == null || known.incarnation() != engine.identity().incarnation()) {
             EngineSpeed speed = speeds.computeIfAbsent(engine.identity().service(), service -> new EngineSpeed());
-            long memoryTokens = spec.map(EngineSpec::memoryTokens).orElse(ASSUMED_MEMORY_TOKENS);
-            known = new EngineLoad(engine.identity().incarnation(), speed, new EngineMemory(memoryTokens));
+            long memoryTokens = spec.map(EngineSpec::cacheCapacityTokens).orElse(ASSUMED_MEMORY_TOKENS);
+            known = new EngineLoad(engine.identity().incarnation(), speed, new PrefixCacheModel(memoryTokens));
             loads.put(engine.id(), known);
         }
         return known;
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineBroker.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSelector.java
@@ -21,9 +21,9 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.endpoint.SendLimits;
-import org.wingstall.relay.endpoint.SendLimits.Chooser;
+import org.wingstall.relay.endpoint.SendLimits.SelectionMode;
 import org.wingstall.relay.log.RelayMetrics;
-import org.wingstall.relay.pool.PieceGathering;
+import org.wingstall.relay.pool.CoordinatorSelector;
 import org.wingstall.schema.peer.EngineAsk;
 import org.wingstall.schema.peer.EngineChoice;
 import org.wingstall.schema.peer.EngineOutcome;
@@ -33,25 +33,25 @@
  * requests crowd some engines and leave others idle. Without word from that box this one chooses by what it knows itself. What
  * the chooser knows is a hint; a request is sent, and never twice, by its own box. Confined to the request loop.
  *
- * <p>{@code broker.choose(new Question("wingstall-llm", candidates, prompt, inputs, 900), receiver);}
+ * <p>{@code broker.choose(new SelectionRequest("wingstall-llm", candidates, prompt, inputs, 900), receiver);}
  *
  * @since 0.4
  */
-public final class EngineBroker implements EngineHost {
+public final class EngineSelector implements EngineHost {
     /** Longest wait for the choice of another box, in ms: ten ways there and back on a calm day. */
     private static final long ASK_MS = 40;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final EngineLinks links;
-    private final PieceGathering choosers;
+    private final CoordinatorSelector choosers;
     private final RelayEndpoints endpoints;
     private final Consumer<RelayEndpoint> doubted;
     private final Function<String, Optional<EngineSpec>> specs;
     private final RelayMetrics metrics;
-    private final EngineLedger ledger;
+    private final EngineLoadBalancer ledger;
     private final SendLimits limits;
-    private final SilenceReports silences;
+    private final UnreachableReports silences;
     private final Map<String, FirstAnswerTimes> firstAnswers = new HashMap<>();
     private final Map<Long, Pending> pending = new HashMap<>();
     private long nextCorrelation = 1;
@@ -65,19 +65,20 @@
      * @param inputs where its inputs lie
      * @param targetMs time left until its first answer is wanted, in ms
      */
-    public record Question(
-            String service, List<RelayEndpoint> candidates, Prompt prompt, EngineInputs inputs, long targetMs) {}
+    public record SelectionRequest(
+            String service, List<RelayEndpoint> candidates, Prompt prompt, InputLocation inputs, long targetMs) {}
 
     /** A question that another box was asked, and who waits for the choice. */
-    private record Pending(Question question, String chooser, Receiver receiver, ScheduledFuture<?> timeout) {}
+    private record Pending(
+            SelectionRequest question, String chooser, SelectionListener receiver, ScheduledFuture<?> timeout) {}
 
     /** Takes the choice of an engine, once. */
-    public interface Receiver {
+    public interface SelectionListener {
         /** An engine was chosen. */
-        void chosen(EngineTicket ticket);
+        void chosen(EngineAssignment ticket);
 
         /** All engines that could take the prompt have reduced capacity, which is used up; one may take it after so many ms. */
-        void noneNow(long againMs);
+        void noneAvailable(long againMs);
     }
 
     /**
@@ -94,11 +95,11 @@
      * @param limited whether an engine states a limit, so that others don't fetch from it
      * @param metrics counts choices
      */
-    public EngineBroker(
+    public EngineSelector(
             EventLoop loop,
             MonotonicClock clock,
             EngineLinks links,
-            PieceGathering choosers,
+            CoordinatorSelector choosers,
             RelayEndpoints endpoints,
             Function<String, Optional<EngineSpec>> specs,
             SendLimits limits,
@@ -114,8 +115,8 @@
         this.limits = limits;
         this.doubted = doubted;
         this.metrics = metrics;
-        this.ledger = new EngineLedger(clock, limited);
-        this.silences = new SilenceReports(clock);
+        this.ledger = new EngineLoadBalancer(clock, limited);
+        this.silences = new UnreachableReports(clock);
     }
 
     /**
@@ -124,18 +125,18 @@
      * @param question what is wanted
      * @param receiver takes the choice, now or soon
      */
-    public void choose(Question question, Receiver receiver) {
-        String chooser = choosers.gathererOf(question.service());
+    public void choose(SelectionRequest question, SelectionListener receiver) {
+        String chooser = choosers.coordinatorOf(question.service());
         if (chooser == null) {
-            chooseHere("this-box", question, receiver, Chooser.FOR_ALL);
+            chooseHere("this-box", question, receiver, SelectionMode.COORDINATOR);
         } else if (!ask(chooser, question, receiver)) {
-            chooseHere("this-box", question, receiver, Chooser.ALONE);
+            chooseHere("this-box", question, receiver, SelectionMode.FALLBACK);
         }
     }
 
     /** Returns the time within which most prompts like this one get a first sign of an answer at a service, in ms. */
     public long firstAnswerMs(String service, Prompt prompt) {
-        return firstAnswersOf(service).mostlyWithinMs(prompt.ownTokens());
+        return firstAnswersOf(service).meanPlusDeviationMs(prompt.ownTokens());
     }
 
     private FirstAnswerTimes firstAnswersOf(String service) {
@@ -143,15 +144,15 @@
     }
 
     /** An engine that is cold or in need is slow for a reason that passes, so nothing is learned from it. */
-    private void learn(EngineTicket ticket, long firstAnswerMs) {
-        if (firstAnswerMs >= 0 && !limits.bounded(ticket.endpoint())) {
-            firstAnswersOf(ticket.endpoint().identity().service()).observed(ticket.ownTokens(), firstAnswerMs);
+    private void learn(EngineAssignment ticket, long firstAnswerMs) {
+        if (firstAnswerMs >= 0 && !limits.limited(ticket.endpoint())) {
+            firstAnswersOf(ticket.endpoint().identity().service()).record(ticket.ownTokens(), firstAnswerMs);
         }
     }
 
     /** Returns the failure domain where a prompt's shared parts are at home; empty when it has none. */
-    public String homeDomain(List<RelayEndpoint> candidates, Prompt prompt) {
-        String home = candidates.isEmpty() ? "" : EngineLedger.homeOf(candidates, prompt);
+    public String preferredDomain(List<RelayEndpoint> candidates, Prompt prompt) {
+        String home = candidates.isEmpty() ? "" : EngineLoadBalancer.preferredEngine(candidates, prompt);
         return candidates.stream()
                 .filter(candidate -> candidate.id().equals(home))
                 .findFirst()
@@ -159,27 +160,27 @@
                 .orElse("");
     }
 
-    private void chooseHere(String why, Question question, Receiver receiver, Chooser chooser) {
-        List<RelayEndpoint> open = limits.open(question.candidates(), chooser);
+    private void chooseHere(String why, SelectionRequest question, SelectionListener receiver, SelectionMode chooser) {
+        List<RelayEndpoint> open = limits.withinLimits(question.candidates(), chooser);
         if (open.isEmpty()) {
-            metrics.engineChosen("none-open");
-            receiver.noneNow(limits.againMs(question.candidates(), chooser));
+            metrics.recordEngineChoice("none-open");
+            receiver.noneAvailable(limits.retryAfterMs(question.candidates(), chooser));
             return;
         }
-        metrics.engineChosen(why);
-        EngineLedger.Choice choice = give(new EngineLedger.Wanted(
+        metrics.recordEngineChoice(why);
+        EngineLoadBalancer.Choice choice = give(new EngineLoadBalancer.SelectionContext(
                 open, question.prompt(), question.inputs(), question.targetMs(), specs.apply(question.service())));
         int ownTokens = question.prompt().ownTokens();
-        receiver.chosen(new EngineTicket(choice, null, ownTokens, clock, this::endedHere));
+        receiver.chosen(new EngineAssignment(choice, null, ownTokens, clock, this::endedHere));
     }
 
-    private EngineLedger.Choice give(EngineLedger.Wanted wanted) {
-        EngineLedger.Choice choice = ledger.choose(wanted);
-        limits.sent(choice.endpoint());
+    private EngineLoadBalancer.Choice give(EngineLoadBalancer.SelectionContext wanted) {
+        EngineLoadBalancer.Choice choice = ledger.choose(wanted);
+        limits.recordSend(choice.endpoint());
         return choice;
     }
 
-    private boolean ask(String chooser, Question question, Receiver receiver) {
+    private boolean ask(String chooser, SelectionRequest question, SelectionListener receiver) {
         long correlation = nextCorrelation++;
         if (!links.ask(chooser, correlation, encode(question))) {
             return false;
@@ -189,7 +190,7 @@
         return true;
     }
 
-    private EngineAsk encode(Question question) {
+    private EngineAsk encode(SelectionRequest question) {
         Set<String> wanted =
                 question.candidates().stream().map(RelayEndpoint::id).collect(Collectors.toSet());
         List<String> excluded = endpoints.ofService(question.service()).stream()
@@ -211,7 +212,7 @@
     private void late(long correlation) {
         Pending waiting = pending.remove(correlation);
         if (waiting != null) {
-            chooseHere("late", waiting.question(), waiting.receiver(), Chooser.ALONE);
+            chooseHere("late", waiting.question(), waiting.receiver(), SelectionMode.FALLBACK);
         }
     }
 
@@ -221,29 +222,30 @@
                 .filter(RelayEndpoint::usable)
                 .filter(endpoint -> !ask.getExcluded().contains(endpoint.id()))
                 .toList();
-        List<RelayEndpoint> open = limits.open(candidates, Chooser.FOR_ALL);
+        List<RelayEndpoint> open = limits.withinLimits(candidates, SelectionMode.COORDINATOR);
         if (open.isEmpty()) {
-            long againMs = candidates.isEmpty() ? 0 : Math.max(1, limits.againMs(candidates, Chooser.FOR_ALL));
+            long againMs =
+                    candidates.isEmpty() ? 0 : Math.max(1, limits.retryAfterMs(candidates, SelectionMode.COORDINATOR));
             links.tellChoice(boxId, correlation, new EngineChoice("", 0, 0, 0, null, againMs));
             return;
         }
         Prompt prompt = new Prompt(ask.getShared(), ask.getDigests(), ask.getTokens());
-        EngineInputs inputs = new EngineInputs(ask.getNearDomain(), ask.getInputBytes());
+        InputLocation inputs = new InputLocation(ask.getNearDomain(), ask.getInputBytes());
         links.tellChoice(
                 boxId,
                 correlation,
-                encode(give(new EngineLedger.Wanted(
+                encode(give(new EngineLoadBalancer.SelectionContext(
                         open, prompt, inputs, ask.getTargetMs(), specs.apply(ask.getService())))));
     }
 
-    private static EngineChoice encode(EngineLedger.Choice choice) {
-        EngineExpectation expected = choice.expectation();
+    private static EngineChoice encode(EngineLoadBalancer.Choice choice) {
+        EngineEstimate expected = choice.estimate();
         String fetchFrom = choice.fetchFrom() == null ? null : Addresses.format(choice.fetchFrom());
         return new EngineChoice(
                 choice.endpoint().id(),
                 (int) expected.firstAnswerMs(),
                 expected.waitMs(),
-                expected.readTokens(),
+                expected.prefillTokens(),
                 fetchFrom,
                 0);
     }
@@ -257,43 +259,43 @@
         pending.remove(correlation);
         waiting.timeout().cancel(false);
         if (choice.getAgainMs() > 0) {
-            metrics.engineChosen("none-open");
-            waiting.receiver().noneNow(choice.getAgainMs());
+            metrics.recordEngineChoice("none-open");
+            waiting.receiver().noneAvailable(choice.getAgainMs());
             return;
         }
         Optional<RelayEndpoint> endpoint = waiting.question().candidates().stream()
                 .filter(candidate -> candidate.id().equals(choice.getEndpoint()))
                 .findFirst();
         if (endpoint.isEmpty()) {
-            chooseHere("chooser-without", waiting.question(), waiting.receiver(), Chooser.ALONE);
+            chooseHere("chooser-without", waiting.question(), waiting.receiver(), SelectionMode.FALLBACK);
             return;
         }
-        metrics.engineChosen("chooser");
-        EngineExpectation expected =
-                new EngineExpectation(choice.getExpectedMs(), choice.getWaitMs(), choice.getReadTokens());
+        metrics.recordEngineChoice("chooser");
+        EngineEstimate expected =
+                new EngineEstimate(choice.getExpectedMs(), choice.getWaitMs(), choice.getReadTokens());
         InetSocketAddress fetchFrom = choice.getFetchFrom() == null ? null : Addresses.parse(choice.getFetchFrom());
-        EngineLedger.Choice made = new EngineLedger.Choice(endpoint.get(), expected, fetchFrom);
+        EngineLoadBalancer.Choice made = new EngineLoadBalancer.Choice(endpoint.get(), expected, fetchFrom);
         int ownTokens = waiting.question().prompt().ownTokens();
-        waiting.receiver().chosen(new EngineTicket(made, boxId, ownTokens, clock, this::endedElsewhere));
+        waiting.receiver().chosen(new EngineAssignment(made, boxId, ownTokens, clock, this::endedElsewhere));
     }
 
-    private void endedElsewhere(EngineTicket ticket, long firstAnswerMs) {
+    private void endedElsewhere(EngineAssignment ticket, long firstAnswerMs) {
         learn(ticket, firstAnswerMs);
-        EngineExpectation expected = ticket.expectation();
+        EngineEstimate expected = ticket.estimate();
         links.tellOutcome(
-                ticket.chooser(),
+                ticket.coordinator(),
                 new EngineOutcome(
                         ticket.endpoint().id(),
                         (int) expected.firstAnswerMs(),
                         (int) firstAnswerMs,
                         expected.waitMs(),
-                        expected.readTokens()));
+                        expected.prefillTokens()));
     }
 
-    private void endedHere(EngineTicket ticket, long firstAnswerMs) {
+    private void endedHere(EngineAssignment ticket, long firstAnswerMs) {
         learn(ticket, firstAnswerMs);
-        if (firstAnswerMs >= 0 && !limits.bounded(ticket.endpoint())) {
-            ledger.answered(ticket.endpoint(), ticket.expectation(), firstAnswerMs);
+        if (firstAnswerMs >= 0 && !limits.limited(ticket.endpoint())) {
+            ledger.recordFirstAnswer(ticket.endpoint(), ticket.estimate(), firstAnswerMs);
         }
     }
 
@@ -302,14 +304,14 @@
         String id = outcome.getEndpoint();
         if (outcome.getFirstAnswerMs() >= 0) {
             silences.answered(id);
-            EngineExpectation expected =
-                    new EngineExpectation(outcome.getExpectedMs(), outcome.getWaitMs(), outcome.getReadTokens());
+            EngineEstimate expected =
+                    new EngineEstimate(outcome.getExpectedMs(), outcome.getWaitMs(), outcome.getReadTokens());
             endpoints
                     .find(id)
-                    .filter(engine -> !limits.bounded(engine))
-                    .ifPresent(engine -> ledger.answered(engine, expected, outcome.getFirstAnswerMs()));
+                    .filter(engine -> !limits.limited(engine))
+                    .ifPresent(engine -> ledger.recordFirstAnswer(engine, expected, outcome.getFirstAnswerMs()));
         } else if (silences.confirms(id, boxId)) {
-            endpoints.find(id).ifPresent(endpoint -> endpoint.stalled("two boxes could not reach it"));
+            endpoints.find(id).ifPresent(endpoint -> endpoint.recordNoAnswer("two boxes could not reach it"));
         } else {
             endpoints.find(id).ifPresent(doubted);
         }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
@@ -1,6 +1,6 @@
 package org.wingstall.relay.engine;
 
-import org.wingstall.core.estimate.LinearTrend;
+import org.wingstall.core.estimate.OnlineLinearRegression;
 
 /**
  * How fast the engines of one service are, learned from the times of their first answers. Confined to the request loop.
@@ -21,26 +21,26 @@
      */
     private static final double BESIDE_PART = 1.0 / 15;
 
-    private final LinearTrend firstAnswer =
-            new LinearTrend(ASSUMED_FIRST_STEPS_MS, 1 / ASSUMED_TOKENS_PER_MS, USUAL_TOKENS);
+    private final OnlineLinearRegression firstAnswer =
+            new OnlineLinearRegression(ASSUMED_FIRST_STEPS_MS, 1 / ASSUMED_TOKENS_PER_MS, USUAL_TOKENS);
 
     /** Records a first answer, without the time that the prompt waited for others. */
-    void answered(int readTokens, long tookMs) {
-        firstAnswer.observed(readTokens, tookMs);
+    void recordFirstAnswer(int readTokens, long tookMs) {
+        firstAnswer.observe(readTokens, tookMs);
     }
 
     /** Returns the time to read so many tokens, in ms. */
-    double readMs(int tokens) {
+    double prefillMs(int tokens) {
         return firstAnswer.slope() * tokens;
     }
 
     /** Returns the time from the end of reading to the first event, in ms. */
-    double firstStepsMs() {
-        return firstAnswer.base();
+    double firstDecodeMs() {
+        return firstAnswer.intercept();
     }
 
     /** Returns what a request that runs there costs the next one, in ms. */
-    double besideMs() {
-        return firstStepsMs() * BESIDE_PART;
+    double concurrencyPenaltyMs() {
+        return firstDecodeMs() * BESIDE_PART;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
@@ -1,6 +1,6 @@
 package org.wingstall.relay.engine;
 
-import org.wingstall.core.estimate.LinearTrend;
+import org.wingstall.core.estimate.OnlineLinearRegression;
 
 /**
  * How long this box's requests wait for the first sign of an answer once they are sent, by the tokens of their own part.
@@ -19,22 +19,23 @@
     /** Weight of a new deviation in the mean; some twenty answers settle it. */
     private static final double NEW_WEIGHT = 0.08;
 
-    /** Part of the expected time by which one answer may move the mean deviation at most, so that a stall does not. */
+    /** FleetBudget of the expected time by which one answer may move the mean deviation at most, so that a stall does not. */
     private static final double MOST_DEVIATION = 1;
 
-    private final LinearTrend trend = new LinearTrend(ASSUMED_BASE_MS, ASSUMED_MS_PER_TOKEN, USUAL_TOKENS);
+    private final OnlineLinearRegression trend =
+            new OnlineLinearRegression(ASSUMED_BASE_MS, ASSUMED_MS_PER_TOKEN, USUAL_TOKENS);
     private double deviationMs;
 
     /** Records the time that a first answer took. */
-    void observed(int ownTokens, long tookMs) {
-        double expectedMs = trend.at(ownTokens);
+    void record(int ownTokens, long tookMs) {
+        double expectedMs = trend.predict(ownTokens);
         double offMs = Math.min(MOST_DEVIATION * expectedMs, Math.abs(tookMs - expectedMs));
         deviationMs += NEW_WEIGHT * (offMs - deviationMs);
-        trend.observed(ownTokens, tookMs);
+        trend.observe(ownTokens, tookMs);
     }
 
     /** Returns the time within which most first answers come, in ms. */
-    long mostlyWithinMs(int ownTokens) {
-        return Math.round(trend.at(ownTokens) + deviationMs);
+    long meanPlusDeviationMs(int ownTokens) {
+        return Math.round(trend.predict(ownTokens) + deviationMs);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineMemory.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/PrefixCacheModel.java
@@ -9,7 +9,7 @@
  * The parts of prompts that an engine likely keeps, by what it was given: the parts unused longest give way. Confined to the
  * request loop.
  */
-final class EngineMemory {
+final class PrefixCacheModel {
     private final long capacityTokens;
     private final LinkedHashMap<Long, Kept> parts = new LinkedHashMap<>(16, 0.75f, true);
     private long keptTokens;
@@ -22,17 +22,17 @@
      */
     private record Kept(int tokens, long readAtMs) {}
 
-    EngineMemory(long capacityTokens) {
+    PrefixCacheModel(long capacityTokens) {
         this.capacityTokens = capacityTokens;
     }
 
     /** Returns how many leading parts of a prompt were given to the engine. */
-    int given(Prompt prompt) {
+    int assignedParts(Prompt prompt) {
         return leading(prompt, Long.MAX_VALUE);
     }
 
     /** Returns how many leading parts of a prompt the engine has read by now, so that others can fetch them. */
-    int read(Prompt prompt, long nowMs) {
+    int prefilledParts(Prompt prompt, long nowMs) {
         return leading(prompt, nowMs);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Records that the engine is given a prompt and has read it at a time. */
-    void remember(Prompt prompt, long readAtMs) {
+    void add(Prompt prompt, long readAtMs) {
         List<Long> digests = prompt.digests();
         for (int i = 0; i < digests.size(); i++) {
             Kept before = parts.get(digests.get(i));
--- a/relay/src/main/java/org/wingstall/relay/engine/SilenceReports.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/UnreachableReports.java
@@ -8,7 +8,7 @@
  * Tells an engine that is silent from a box whose own links are broken: it takes two boxes to say so. Confined to the request
  * loop.
  */
-final class SilenceReports {
+final class UnreachableReports {
     /** Time within which the second box has to say so, in ms; boxes of a large fleet reach an engine a few times a second. */
     private static final long TOGETHER_MS = 1500;
 
@@ -17,7 +17,7 @@
 
     private record Report(String boxId, long atMs) {}
 
-    SilenceReports(MonotonicClock clock) {
+    UnreachableReports(MonotonicClock clock) {
         this.clock = clock;
     }
 
--- a/relay/src/main/java/org/wingstall/relay/log/RelayMetrics.java
+++ b/relay/src/main/java/org/wingstall/relay/log/RelayMetrics.java
@@ -21,17 +21,17 @@
  */
 public final class RelayMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<Reason, Counter> reasons = new EnumMap<>(Reason.class);
+    private final Map<Reason, Counter> outcomes = new EnumMap<>(Reason.class);
     private final Map<String, Counter> retries = new ConcurrentHashMap<>();
     private final Map<String, Counter> losses = new ConcurrentHashMap<>();
     private final Map<String, Counter> engineChoices = new ConcurrentHashMap<>();
-    private final Map<String, Counter> questions = new ConcurrentHashMap<>();
-    private final Map<String, Counter> heldBack = new ConcurrentHashMap<>();
-    private final Counter dropped = registry.counter("wingstall.answers.dropped");
-    private final Counter linesDropped = registry.counter("wingstall.log.lines.dropped");
-    private final Timer complete =
+    private final Map<String, Counter> stateQueries = new ConcurrentHashMap<>();
+    private final Map<String, Counter> limitedEndpoints = new ConcurrentHashMap<>();
+    private final Counter droppedResponses = registry.counter("wingstall.answers.dropped");
+    private final Counter droppedLogLines = registry.counter("wingstall.log.lines.dropped");
+    private final Timer successTime =
             Timer.builder("wingstall.request.time").publishPercentileHistogram().register(registry);
-    private final Timer failed = Timer.builder("wingstall.request.failed.time")
+    private final Timer failureTime = Timer.builder("wingstall.request.failed.time")
             .publishPercentileHistogram()
             .register(registry);
 
@@ -39,7 +39,7 @@
     public RelayMetrics() {
         for (Reason reason : Reason.values()) {
             String outcome = reason.outcome().value();
-            reasons.put(reason, registry.counter("wingstall.outcomes", "outcome", outcome, "reason", reason.code()));
+            outcomes.put(reason, registry.counter("wingstall.outcomes", "outcome", outcome, "reason", reason.code()));
         }
     }
 
@@ -54,55 +54,56 @@
     }
 
     /** Counts an endpoint's answer that went to its caller. */
-    public void completed(int status, long tookMs) {
-        Timer timer = status / 100 == 2 ? complete : failed;
+    public void recordCompleted(int status, long tookMs) {
+        Timer timer = status / 100 == 2 ? successTime : failureTime;
         timer.record(tookMs, TimeUnit.MILLISECONDS);
     }
 
     /** Counts a request that got no endpoint's answer. */
-    public void refused(Reason reason) {
-        reasons.get(reason).increment();
+    public void recordRefusal(Reason reason) {
+        outcomes.get(reason).increment();
     }
 
     /** Counts a request that is sent to another endpoint. */
-    public void retried(String why) {
+    public void recordRetry(String why) {
         retries.computeIfAbsent(why, name -> registry.counter("wingstall.retries", "reason", name))
                 .increment();
     }
 
     /** Counts a request that an endpoint may have run and that got no whole answer, by how its connection ended. */
-    public void endpointLost(String kind) {
+    public void recordEndpointLoss(String kind) {
         losses.computeIfAbsent(kind, name -> registry.counter("wingstall.endpoint.losses", "kind", name))
                 .increment();
     }
 
     /** Counts a choice of an engine, by who made it and why. */
-    public void engineChosen(String by) {
+    public void recordEngineChoice(String by) {
         engineChoices
                 .computeIfAbsent(by, name -> registry.counter("wingstall.engine.choices", "by", name))
                 .increment();
     }
 
     /** Counts a question for an endpoint's state, by its purpose. */
-    public void endpointAsked(String purpose) {
-        questions
+    public void recordStateQuery(String purpose) {
+        stateQueries
                 .computeIfAbsent(purpose, name -> registry.counter("wingstall.endpoint.questions", "purpose", name))
                 .increment();
     }
 
     /** Counts an endpoint that was left out of a choice because it had its share, by the cause of the bound. */
-    public void heldBack(String cause) {
-        heldBack.computeIfAbsent(cause, name -> registry.counter("wingstall.endpoint.held.back", "cause", name))
+    public void recordLimitedEndpoint(String cause) {
+        limitedEndpoints
+                .computeIfAbsent(cause, name -> registry.counter("wingstall.endpoint.held.back", "cause", name))
                 .increment();
     }
 
     /** Counts an answer that was no answer to the request it came for. */
-    public void answerDropped() {
-        dropped.increment();
+    public void recordDroppedResponse() {
+        droppedResponses.increment();
     }
 
     /** Counts a log line that was left out. */
-    public void lineDropped() {
-        linesDropped.increment();
+    public void recordDroppedLogLine() {
+        droppedLogLines.increment();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/log/RequestLog.java
+++ b/relay/src/main/java/org/wingstall/relay/log/RequestLog.java
@@ -6,7 +6,7 @@
 import org.wingstall.core.limit.TokenBucket;
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.log.LogEvent;
-import org.wingstall.relay.run.RunRecord;
+import org.wingstall.relay.run.RequestLogEntry;
 
 /**
  * Writes one line about each request, with what decided; bounded, so that a burst costs lines and no processor time.
@@ -36,8 +36,8 @@
     }
 
     /** Writes the line of a request that had a route. */
-    public void ended(RunRecord record, String outcome, int status, String detail, long nowMs) {
-        if (!allowed()) {
+    public void logRequest(RequestLogEntry record, String outcome, int status, String detail, long nowMs) {
+        if (!tryAcquireLine()) {
             return;
         }
         LogEvent.info("request")
@@ -58,9 +58,9 @@
     }
 
     /** Writes the line of a sending whose connection ended before the answer was whole. */
-    public void endpointLost(RunRecord record, EndpointLoss loss) {
-        metrics.endpointLost(loss.failure().kind().code());
-        if (!allowed()) {
+    public void logEndpointLoss(RequestLogEntry record, EndpointLoss loss) {
+        metrics.recordEndpointLoss(loss.failure().kind().code());
+        if (!tryAcquireLine()) {
             return;
         }
         LogEvent.warn("endpoint-lost")
@@ -77,8 +77,8 @@
     }
 
     /** Writes the line of a request that was refused before it had a route. */
-    public void turnedAway(String requestId, String target, RefusedException refusal, long configVersion) {
-        if (!allowed()) {
+    public void logRejected(String requestId, String target, RefusedException refusal, long configVersion) {
+        if (!tryAcquireLine()) {
             return;
         }
         LogEvent.info("turned-away")
@@ -90,10 +90,10 @@
                 .to(LOG);
     }
 
-    private boolean allowed() {
+    private boolean tryAcquireLine() {
         boolean allowed = bucket.tryTake(LINES_PER_SECOND);
         if (!allowed) {
-            metrics.lineDropped();
+            metrics.recordDroppedLogLine();
         }
         return allowed;
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/CallPlanner.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallPlanner.java
@@ -21,7 +21,7 @@
      * @param nowMs monotonic clock, in ms
      * @return the call; empty when nothing can go now
      */
-    Optional<PlannedCall> next(List<PieceGroup> inOrder, List<Maker> makers, PoolSpec spec, long nowMs);
+    Optional<PlannedCall> planNext(List<PieceGroup> inOrder, List<EndpointCapacity> makers, PoolSpec spec, long nowMs);
 
     /**
      * An endpoint as a planner sees it.
@@ -32,7 +32,7 @@
      * @param freeBytes room for results
      * @param load calls there, with a small random part that breaks ties
      */
-    record Maker(String endpointId, String failureDomain, int freeSlots, double freeBytes, double load) {}
+    record EndpointCapacity(String endpointId, String failureDomain, int freeSlots, double freeBytes, double load) {}
 
     /**
      * A call.
@@ -40,7 +40,7 @@
      * @param maker the endpoint
      * @param parts what it carries
      */
-    record PlannedCall(Maker maker, List<Part> parts) {}
+    record PlannedCall(EndpointCapacity endpoint, List<Part> parts) {}
 
     /**
      * A group's part of a call.
--- a/relay/src/main/java/org/wingstall/relay/pool/CallPatience.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallTimeouts.java
@@ -8,31 +8,31 @@
  * <p>One endpoint that has stopped loses its calls soon; when no endpoint of the service answers in time, all of them are
  * slow, and calls get longer with each round of lost ones.
  */
-final class CallPatience {
-    /** Full calls that may stand before this one at the endpoint: another box's, while views of who gathers differ. */
+final class CallTimeouts {
+    /** FullMark calls that may stand before this one at the endpoint: another box's, while views of who gathers differ. */
     private static final int CALLS_AHEAD = 1;
 
     /**
      * Factor on the expected time. Endpoints of a service differ by less than half; at 2.5 and two calls ahead, a call to one
      * that had stopped held pieces for 1.9 s, longer than the target of any route.
      */
-    private static final double FACTOR = 2;
+    private static final double EXPECTED_TIME_FACTOR = 2;
 
     /** Most rounds of lost calls that make calls longer; then a call may take as long as twelve expected ones. */
-    private static final int MOST_ROUNDS = 3;
+    private static final int MAX_ROUNDS = 3;
 
-    private int lostInARow;
+    private int consecutiveLosses;
 
     /** Records a call that was answered; one that took long says that the service is slow still. */
-    void answered(PoolSpec spec, int pieces, long tookMs) {
-        if (tookMs <= usualMs(spec, pieces)) {
-            lostInARow = 0;
+    void recordAnswer(PoolSpec spec, int pieces, long tookMs) {
+        if (tookMs <= baseTimeoutMs(spec, pieces)) {
+            consecutiveLosses = 0;
         }
     }
 
     /** Records a call that was lost. */
-    void lost() {
-        lostInARow++;
+    void recordLoss() {
+        consecutiveLosses++;
     }
 
     /**
@@ -44,11 +44,11 @@
      * @return the time, in ms
      */
     long timeoutMs(PoolSpec spec, int pieces, int endpoints) {
-        int rounds = Math.min(MOST_ROUNDS, lostInARow / Math.max(1, endpoints));
-        return Math.round(usualMs(spec, pieces) * (1 + rounds));
+        int rounds = Math.min(MAX_ROUNDS, consecutiveLosses / Math.max(1, endpoints));
+        return Math.round(baseTimeoutMs(spec, pieces) * (1 + rounds));
     }
 
-    private static double usualMs(PoolSpec spec, int pieces) {
-        return FACTOR * spec.callMs(pieces) + CALLS_AHEAD * spec.callMs(spec.batch());
+    private static double baseTimeoutMs(PoolSpec spec, int pieces) {
+        return EXPECTED_TIME_FACTOR * spec.callMs(pieces) + CALLS_AHEAD * spec.callMs(spec.maxBatchSize());
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceGathering.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CoordinatorSelector.java
@@ -8,9 +8,9 @@
  *
  * @since 0.2
  */
-public interface PieceGathering {
+public interface CoordinatorSelector {
     /** Every box makes its own calls; the baseline. */
-    PieceGathering NONE = service -> null;
+    CoordinatorSelector NONE = service -> null;
 
     /**
      * Returns the box that does the joint work of a service.
@@ -18,5 +18,5 @@
      * @param service the service
      * @return name of another box, or null when it is this one
      */
-    String gathererOf(String service);
+    String coordinatorOf(String service);
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/AskedPieces.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/DelegatedPieces.java
@@ -17,35 +17,35 @@
  * The pieces that this box asked others to have made. When the box that gathers them is lost they are submitted again: a
  * piece may be made twice. Confined to the request loop.
  */
-final class AskedPieces {
+final class DelegatedPieces {
     private final PieceLinks links;
     private final MonotonicClock clock;
-    private final Resubmit resubmit;
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Resubmitter resubmitter;
+    private final Map<Long, Delegation> delegations = new HashMap<>();
     private long nextCorrelation = 1;
 
     /** Takes pieces whose gathering box was lost. */
     @FunctionalInterface
-    interface Resubmit {
-        void again(String service, List<PieceTicket> tickets);
+    interface Resubmitter {
+        void resubmit(String service, List<PieceTask> tickets);
     }
 
-    private static final class Asked {
+    private static final class Delegation {
         private final String boxId;
         private final String service;
-        private final PieceTicket[] tickets;
-        private int left;
+        private final PieceTask[] tickets;
+        private int remaining;
 
-        Asked(String boxId, String service, List<PieceTicket> tickets) {
+        Delegation(String boxId, String service, List<PieceTask> tickets) {
             this.boxId = boxId;
             this.service = service;
-            this.tickets = tickets.toArray(new PieceTicket[0]);
-            this.left = tickets.size();
+            this.tickets = tickets.toArray(new PieceTask[0]);
+            this.remaining = tickets.size();
         }
 
-        List<PieceTicket> unfinished() {
-            List<PieceTicket> unfinished = new ArrayList<>();
-            for (PieceTicket ticket : tickets) {
+        List<PieceTask> unfinished() {
+            List<PieceTask> unfinished = new ArrayList<>();
+            for (PieceTask ticket : tickets) {
                 if (ticket != null && !ticket.withdrawn()) {
                     unfinished.add(ticket);
                 }
@@ -54,7 +54,7 @@
         }
 
         boolean withdrawn() {
-            for (PieceTicket ticket : tickets) {
+            for (PieceTask ticket : tickets) {
                 if (ticket != null && !ticket.withdrawn()) {
                     return false;
                 }
@@ -63,24 +63,24 @@
         }
     }
 
-    AskedPieces(PieceLinks links, MonotonicClock clock, Resubmit resubmit) {
+    DelegatedPieces(PieceLinks links, MonotonicClock clock, Resubmitter resubmit) {
         this.links = links;
         this.clock = clock;
-        this.resubmit = resubmit;
+        this.resubmitter = resubmit;
     }
 
     /** Asks a box for pieces; returns whether there is a link to it. */
-    boolean ask(String boxId, String service, List<PieceTicket> tickets) {
+    boolean delegate(String boxId, String service, List<PieceTask> tickets) {
         long correlation = nextCorrelation++;
         List<StagePiece> pieces = tickets.stream().map(this::encode).toList();
         if (!links.askFor(boxId, correlation, new StageWork(service, pieces))) {
             return false;
         }
-        asked.put(correlation, new Asked(boxId, service, tickets));
+        delegations.put(correlation, new Delegation(boxId, service, tickets));
         return true;
     }
 
-    private StagePiece encode(PieceTicket ticket) {
+    private StagePiece encode(PieceTask ticket) {
         Piece piece = ticket.piece();
         long nowMs = clock.nowMs();
         return new StagePiece(
@@ -90,39 +90,39 @@
                 piece.key(),
                 piece.inputs(),
                 ticket.urgency().rank(),
-                Math.max(0, ticket.urgency().dueAtMs() - nowMs),
+                Math.max(0, ticket.urgency().deadlineAtMs() - nowMs),
                 Math.max(0, ticket.urgency().targetAtMs() - nowMs),
                 ticket.placement().resultBytes(),
                 ticket.placement().nearDomain(),
-                ticket.placement().awayBytes(),
+                ticket.placement().crossDomainBytes(),
                 piece.origin());
     }
 
-    void resultCame(String boxId, long correlation, StageResult result) {
-        Asked work = asked.get(correlation);
+    void resultReceived(String boxId, long correlation, StageResult result) {
+        Delegation work = delegations.get(correlation);
         boolean expected = work != null && work.boxId.equals(boxId) && result.getPlace() < work.tickets.length;
         if (!expected || work.tickets[result.getPlace()] == null) {
             return;
         }
-        PieceTicket ticket = work.tickets[result.getPlace()];
+        PieceTask ticket = work.tickets[result.getPlace()];
         work.tickets[result.getPlace()] = null;
-        work.left--;
-        if (work.left == 0) {
-            asked.remove(correlation);
+        work.remaining--;
+        if (work.remaining == 0) {
+            delegations.remove(correlation);
         }
-        ticket.done(decode(result, boxId));
+        ticket.complete(decode(result, boxId));
     }
 
-    private static MadePiece decode(StageResult result, String gatherer) {
+    private static PieceOutcome decode(StageResult result, String gatherer) {
         if (result.getHandle() == null) {
-            return MadePiece.failed(PieceResult.Failure.named(result.getFailure()), result.getAgainMs());
+            return PieceOutcome.failed(PieceResult.Failure.fromName(result.getFailure()), result.getAgainMs());
         }
-        return MadePiece.made(PieceResult.of(result.getHandle()), Addresses.parse(result.getMaker()), gatherer);
+        return PieceOutcome.success(PieceResult.of(result.getHandle()), Addresses.parse(result.getMaker()), gatherer);
     }
 
     /** Tells gathering boxes of the work that nobody here wants any more. */
-    void tellWithdrawn() {
-        asked.entrySet().removeIf(entry -> {
+    void announceWithdrawn() {
+        delegations.entrySet().removeIf(entry -> {
             boolean unwanted = entry.getValue().withdrawn();
             if (unwanted) {
                 links.withdraw(entry.getValue().boxId, entry.getKey());
@@ -135,25 +135,25 @@
      * Submits what a box was asked for again, because it is lost or silent. Should it hear again later, it is told that
      * nobody wants that work any more.
      */
-    void lost(String boxId) {
-        List<Asked> lost = new ArrayList<>();
-        asked.entrySet().removeIf(entry -> {
+    void boxLost(String boxId) {
+        List<Delegation> lost = new ArrayList<>();
+        delegations.entrySet().removeIf(entry -> {
             boolean there = entry.getValue().boxId.equals(boxId) && lost.add(entry.getValue());
             if (there) {
                 links.withdraw(boxId, entry.getKey());
             }
             return there;
         });
-        for (Asked work : lost) {
-            List<PieceTicket> unfinished = work.unfinished();
+        for (Delegation work : lost) {
+            List<PieceTask> unfinished = work.unfinished();
             if (!unfinished.isEmpty()) {
-                resubmit.again(work.service, unfinished);
+                resubmitter.resubmit(work.service, unfinished);
             }
         }
     }
 
     /** Returns the boxes that pieces are expected from. */
     List<String> boxes() {
-        return asked.values().stream().map(work -> work.boxId).distinct().toList();
+        return delegations.values().stream().map(work -> work.boxId).distinct().toList();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/ForecastAdmission.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ForecastAdmission.java
@@ -13,45 +13,46 @@
      * Least spare part of the pool that late groups are reckoned to get. Below a tenth their wait would be ten times as long
      * as what waits now, which is longer than any caller stays.
      */
-    private static final double LEAST_SPARE = 0.1;
+    private static final double MIN_SPARE_CAPACITY = 0.1;
 
     /** Longest time after which to come back, in ms: how long a burst lasts can't be foreseen for longer. */
-    private static final long MOST_AGAIN_MS = 3000;
+    private static final long MAX_RETRY_AFTER_MS = 3000;
 
-    private final LatestEnd latestEnd;
+    private final CompletionLimit completionLimit;
 
     /** Says until when a group has to be done. */
     @FunctionalInterface
-    interface LatestEnd {
+    interface CompletionLimit {
         /** Returns the time after which the group's results are of no use, in ms of the monotonic clock. */
-        long ofMs(PieceGroup group, PoolOutlook outlook);
+        long latestEndMs(PieceGroup group, AdmissionContext outlook);
     }
 
-    ForecastAdmission(LatestEnd latestEnd) {
-        this.latestEnd = latestEnd;
+    ForecastAdmission(CompletionLimit latestEnd) {
+        this.completionLimit = latestEnd;
     }
 
     @Override
-    public List<TurnedAway> turnedAway(List<PieceGroup> inOrder, PoolOutlook outlook, long nowMs) {
+    public List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext outlook, long nowMs) {
         List<Long> ends = outlook.forecast()
                 .endsAtMs(inOrder.stream().map(PieceGroup::size).toList());
-        double spare = Math.max(LEAST_SPARE, 1 - outlook.load());
-        List<TurnedAway> away = new ArrayList<>();
-        long againMs = ends.isEmpty() ? 0 : Math.min(MOST_AGAIN_MS, untilMs(ends.get(ends.size() - 1), nowMs, spare));
+        double spare = Math.max(MIN_SPARE_CAPACITY, 1 - outlook.load());
+        List<RejectedGroup> away = new ArrayList<>();
+        long againMs =
+                ends.isEmpty() ? 0 : Math.min(MAX_RETRY_AFTER_MS, waitMs(ends.get(ends.size() - 1), nowMs, spare));
         for (int i = 0; i < ends.size(); i++) {
             PieceGroup group = inOrder.get(i);
-            double part = group.lateAt(nowMs) ? spare : 1;
-            long roomAtMs = outlook.roomAtMs().applyAsLong(group);
-            long endsAtMs = Math.max(nowMs + untilMs(ends.get(i), nowMs, part), roomAtMs + group.callMs());
-            if (endsAtMs > latestEnd.ofMs(group, outlook)) {
-                away.add(new TurnedAway(group, Math.max(againMs, roomAtMs - nowMs)));
+            double part = group.isLateAt(nowMs) ? spare : 1;
+            long roomAtMs = outlook.capacityAtMs().applyAsLong(group);
+            long endsAtMs = Math.max(nowMs + waitMs(ends.get(i), nowMs, part), roomAtMs + group.callMs());
+            if (endsAtMs > completionLimit.latestEndMs(group, outlook)) {
+                away.add(new RejectedGroup(group, Math.max(againMs, roomAtMs - nowMs)));
             }
         }
         return away;
     }
 
     /** Groups that are late already are overtaken by those that still come, so they get the spare part only. */
-    private static long untilMs(long endsAtMs, long nowMs, double part) {
+    private static long waitMs(long endsAtMs, long nowMs, double part) {
         if (endsAtMs == PoolForecast.NEVER) {
             return Integer.MAX_VALUE;
         }
--- a/relay/src/main/java/org/wingstall/relay/pool/GroupOrder.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/GroupOrder.java
@@ -22,5 +22,5 @@
     GroupOrder ARRIVAL = (groups, nowMs) -> List.copyOf(groups);
 
     /** Those that can still be in time first, then by rank, then the earliest target. */
-    GroupOrder EARLIEST_TARGET = new EarliestTarget();
+    GroupOrder EARLIEST_TARGET = new EarliestTargetOrder();
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/GatheredPieces.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PeerPieces.java
@@ -13,31 +13,31 @@
 import org.wingstall.schema.peer.StageWork;
 
 /** The pieces that this box has made for others, in the same pools as its own. Confined to the request loop. */
-final class GatheredPieces {
+final class PeerPieces {
     private final PieceLinks links;
     private final MonotonicClock clock;
     private final StagePools pools;
-    private final Map<String, Map<Long, List<PieceTicket>>> byBox = new HashMap<>();
+    private final Map<String, Map<Long, List<PieceTask>>> byBox = new HashMap<>();
 
-    GatheredPieces(PieceLinks links, MonotonicClock clock, StagePools pools) {
+    PeerPieces(PieceLinks links, MonotonicClock clock, StagePools pools) {
         this.links = links;
         this.clock = clock;
         this.pools = pools;
     }
 
-    void workCame(String boxId, long correlation, StageWork work) {
-        List<PieceTicket> tickets = new ArrayList<>();
+    void workReceived(String boxId, long correlation, StageWork work) {
+        List<PieceTask> tickets = new ArrayList<>();
         for (StagePiece piece : work.getPieces()) {
             int place = tickets.size();
-            tickets.add(decode(piece, (ticket, made) -> ended(boxId, correlation, place, made)));
+            tickets.add(decode(piece, (ticket, made) -> completed(boxId, correlation, place, made)));
         }
         byBox.computeIfAbsent(boxId, box -> new HashMap<>()).put(correlation, tickets);
-        pools.of(work.getService()).submit(tickets);
+        pools.pool(work.getService()).submit(tickets);
     }
 
-    private PieceTicket decode(StagePiece piece, PieceTicket.PieceOwner owner) {
+    private PieceTask decode(StagePiece piece, PieceTask.CompletionListener owner) {
         long nowMs = clock.nowMs();
-        return new PieceTicket(
+        return new PieceTask(
                 new Piece(
                         piece.getRequestId(),
                         piece.getStage(),
@@ -46,12 +46,12 @@
                         piece.getInputs(),
                         piece.getOrigin()),
                 new Urgency(piece.getRank(), nowMs + piece.getTargetMs(), nowMs + piece.getRemainingMs()),
-                new PieceTicket.Placement(piece.getNearDomain(), piece.getResultBytes(), piece.getAwayBytes()),
+                new PieceTask.Placement(piece.getNearDomain(), piece.getResultBytes(), piece.getAwayBytes()),
                 owner);
     }
 
-    private void ended(String boxId, long correlation, int place, MadePiece made) {
-        List<PieceTicket> tickets = byBox.getOrDefault(boxId, Map.of()).get(correlation);
+    private void completed(String boxId, long correlation, int place, PieceOutcome made) {
+        List<PieceTask> tickets = byBox.getOrDefault(boxId, Map.of()).get(correlation);
         boolean wanted = tickets != null && links.tellResult(boxId, correlation, encode(place, made));
         if (!wanted) {
             pools.freer().free(made);
@@ -63,11 +63,11 @@
         }
     }
 
-    private static StageResult encode(int place, MadePiece made) {
-        if (!made.result().made()) {
-            return new StageResult(place, null, null, made.result().failure().name(), made.againMs());
+    private static StageResult encode(int place, PieceOutcome made) {
+        if (!made.result().success()) {
+            return new StageResult(place, null, null, made.result().failure().name(), made.retryAfterMs());
         }
-        String maker = Addresses.format(made.maker());
+        String maker = Addresses.format(made.endpointAddress());
         return new StageResult(place, made.result().handle(), maker, null, 0);
     }
 
@@ -76,17 +76,17 @@
     }
 
     void unlinked(String boxId) {
-        Map<Long, List<PieceTicket>> lost = byBox.remove(boxId);
+        Map<Long, List<PieceTask>> lost = byBox.remove(boxId);
         if (lost != null) {
-            lost.values().forEach(GatheredPieces::withdraw);
+            lost.values().forEach(PeerPieces::withdraw);
         }
     }
 
-    private static void withdraw(List<PieceTicket> tickets) {
+    private static void withdraw(List<PieceTask> tickets) {
         if (tickets == null) {
             return;
         }
-        for (PieceTicket ticket : tickets) {
+        for (PieceTask ticket : tickets) {
             if (ticket != null) {
                 ticket.withdraw();
             }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceGroup.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceGroup.java
@@ -16,20 +16,20 @@
      * Time for which a group waits for an endpoint near its inputs or reader, in ms for each megabyte that would go between
      * failure domains: each piece reads all its inputs, so a group moves them as often as it has pieces.
      */
-    private static final double NEAR_ONLY_MS_PER_MB = 300;
+    private static final double NEAR_WAIT_MS_PER_MB = 300;
 
     private static final double BYTES_PER_MB = 1e6;
 
     /** Time left until the pieces have to begin below which any endpoint will do, in ms; about a call. */
-    private static final long HURRY_MS = 200;
+    private static final long NEAR_WAIT_CUTOFF_MS = 200;
 
-    private final List<PieceTicket> waiting;
-    private final long sinceMs;
+    private final List<PieceTask> waiting;
+    private final long waitingSinceMs;
     private final long callMs;
     private final Urgency urgency;
-    private final PieceTicket.Placement placement;
-    private final boolean apart;
-    private final boolean followsOthers;
+    private final PieceTask.Placement placement;
+    private final boolean isolated;
+    private final boolean hasPredecessors;
 
     /**
      * Creates a group.
@@ -39,42 +39,42 @@
      * @param callMs expected time of the call that makes it, in ms
      * @param apart whether it goes in calls of its own, since an endpoint ended under one of its pieces
      */
-    PieceGroup(List<PieceTicket> tickets, long sinceMs, double callMs, boolean apart) {
-        this.apart = apart;
-        this.sinceMs = sinceMs;
+    PieceGroup(List<PieceTask> tickets, long sinceMs, double callMs, boolean apart) {
+        this.isolated = apart;
+        this.waitingSinceMs = sinceMs;
         this.callMs = Math.round(callMs);
         this.waiting = new ArrayList<>(tickets);
         this.urgency = tickets.get(0).urgency();
         this.placement = tickets.get(0).placement();
-        this.followsOthers = tickets.get(0).piece().key() == null;
+        this.hasPredecessors = tickets.get(0).piece().key() == null;
     }
 
     Urgency urgency() {
         return urgency;
     }
 
-    PieceTicket.Placement placement() {
+    PieceTask.Placement placement() {
         return placement;
     }
 
     /** Returns whether other stages of its request were done for it; their work is lost when it is turned away. */
-    boolean followsOthers() {
-        return followsOthers;
+    boolean hasPredecessors() {
+        return hasPredecessors;
     }
 
     /** Returns whether it goes in calls of its own. */
-    boolean apart() {
-        return apart;
+    boolean isolated() {
+        return isolated;
     }
 
     /** Returns whether an endpoint of the failure domain may take the group now. */
-    boolean mayGoTo(String failureDomain, long nowMs) {
-        boolean hurries = latestBeginAtMs() - nowMs < HURRY_MS;
-        return near(failureDomain) || hurries || nowMs - sinceMs >= nearOnlyMs();
+    boolean maySendTo(String failureDomain, long nowMs) {
+        boolean hurries = latestStartAtMs() - nowMs < NEAR_WAIT_CUTOFF_MS;
+        return near(failureDomain) || hurries || nowMs - waitingSinceMs >= nearWaitMs();
     }
 
-    private double nearOnlyMs() {
-        return NEAR_ONLY_MS_PER_MB * size() * placement.awayBytes() / BYTES_PER_MB;
+    private double nearWaitMs() {
+        return NEAR_WAIT_MS_PER_MB * size() * placement.crossDomainBytes() / BYTES_PER_MB;
     }
 
     /** Returns whether the failure domain is that of its inputs or reader, or makes no difference. */
@@ -83,7 +83,7 @@
     }
 
     /** Returns when its call has to begin so that the request is answered in time, in ms of the monotonic clock. */
-    long latestBeginAtMs() {
+    long latestStartAtMs() {
         return urgency.targetAtMs() - callMs;
     }
 
@@ -95,25 +95,25 @@
     /** Returns the room that its results need to go whole; one that is larger than a call or an endpoint's room goes in parts. */
     double neededBytes(PoolSpec spec) {
         double resultBytes = Math.max(1, placement.resultBytes());
-        double mostPieces = Math.min(spec.batch(), Math.floor(spec.roomBytes() / resultBytes));
+        double mostPieces = Math.min(spec.maxBatchSize(), Math.floor(spec.resultCapacityBytes() / resultBytes));
         return resultBytes * Math.max(1, Math.min(size(), mostPieces));
     }
 
     /** Returns whether its request can't be answered in time any more. */
-    boolean lateAt(long nowMs) {
-        return latestBeginAtMs() < nowMs;
+    boolean isLateAt(long nowMs) {
+        return latestStartAtMs() < nowMs;
     }
 
     /** Returns the pieces that still wait, without those that were withdrawn. */
     int size() {
-        waiting.removeIf(PieceTicket::withdrawn);
+        waiting.removeIf(PieceTask::withdrawn);
         return waiting.size();
     }
 
     /** Removes and returns so many pieces at most. */
-    List<PieceTicket> take(int most) {
-        List<PieceTicket> first = waiting.subList(0, Math.min(most, waiting.size()));
-        List<PieceTicket> taken = List.copyOf(first);
+    List<PieceTask> take(int most) {
+        List<PieceTask> first = waiting.subList(0, Math.min(most, waiting.size()));
+        List<PieceTask> taken = List.copyOf(first);
         first.clear();
         return taken;
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/MadePiece.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceOutcome.java
@@ -11,16 +11,16 @@
  * @param gatherer box that had it made and counts the maker's room; null for this box
  * @param againMs when there is likely room for a request that was turned away, in ms; 0 when that is not known
  */
-record MadePiece(PieceResult result, InetSocketAddress maker, String gatherer, long againMs) {
-    static MadePiece made(PieceResult result, InetSocketAddress maker, String gatherer) {
-        return new MadePiece(result, maker, gatherer, 0);
+record PieceOutcome(PieceResult result, InetSocketAddress endpointAddress, String coordinator, long retryAfterMs) {
+    static PieceOutcome success(PieceResult result, InetSocketAddress maker, String gatherer) {
+        return new PieceOutcome(result, maker, gatherer, 0);
     }
 
-    static MadePiece failed(PieceResult.Failure failure) {
+    static PieceOutcome failed(PieceResult.Failure failure) {
         return failed(failure, 0);
     }
 
-    static MadePiece failed(PieceResult.Failure failure, long againMs) {
-        return new MadePiece(PieceResult.failed(failure), null, null, againMs);
+    static PieceOutcome failed(PieceResult.Failure failure, long againMs) {
+        return new PieceOutcome(PieceResult.failed(failure), null, null, againMs);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceCrashes.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceQuarantine.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.wingstall.core.quarantine.Hold;
 import org.wingstall.core.quarantine.Quarantine;
+import org.wingstall.core.quarantine.QuarantineRefusal;
 import org.wingstall.net.http.TransportException;
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
@@ -11,38 +11,38 @@
  * What the quarantine says of the pieces of one service, and is told of their calls. A piece may be part of many requests, and
  * a call carries pieces of several: all of them are suspected when its endpoint ends. Confined to the request loop.
  */
-final class PieceCrashes {
+final class PieceQuarantine {
     private final String service;
     private final Quarantine quarantine;
 
-    PieceCrashes(String service, Quarantine quarantine) {
+    PieceQuarantine(String service, Quarantine quarantine) {
         this.service = service;
         this.quarantine = quarantine;
     }
 
     /** Returns why one of some pieces is not to be sent now. */
-    Optional<Hold> hold(List<PieceTicket> tickets) {
+    Optional<QuarantineRefusal> hold(List<PieceTask> tickets) {
         return tickets.stream()
                 .filter(ticket -> ticket.piece().identifiable())
-                .map(ticket -> quarantine.hold(() -> ticket.piece().fingerprint(service)))
+                .map(ticket -> quarantine.refusal(() -> ticket.piece().fingerprint(service)))
                 .flatMap(Optional::stream)
                 .findFirst();
     }
 
     /** Returns whether an endpoint ended under one of some pieces: they are made apart from other requests' pieces then. */
-    boolean suspects(List<PieceTicket> tickets) {
+    boolean anySuspected(List<PieceTask> tickets) {
         return tickets.stream()
                 .filter(ticket -> ticket.piece().identifiable())
-                .anyMatch(ticket -> quarantine.suspects(() -> ticket.piece().fingerprint(service)));
+                .anyMatch(ticket -> quarantine.isSuspected(() -> ticket.piece().fingerprint(service)));
     }
 
     /** Records that a call ended without an answer. */
-    void lost(List<PieceTicket> tickets, RelayEndpoint endpoint, Throwable failure) {
+    void callLost(List<PieceTask> tickets, RelayEndpoint endpoint, Throwable failure) {
         boolean ended = failure instanceof TransportException broken
                 && broken.kind() == TransportException.Kind.RESET
                 && broken.requestWritten();
         if (ended) {
-            quarantine.lost(
+            quarantine.endpointLost(
                     tickets.stream()
                             .filter(ticket -> ticket.piece().identifiable())
                             .map(ticket -> ticket.piece().fingerprint(service))
@@ -52,7 +52,7 @@
     }
 
     /** Records that a piece was made. */
-    void made(PieceTicket ticket, RelayEndpoint endpoint, long sentAtMs) {
+    void pieceSucceeded(PieceTask ticket, RelayEndpoint endpoint, long sentAtMs) {
         if (ticket.piece().identifiable()) {
             quarantine.answered(() -> ticket.piece().fingerprint(service), endpoint.key(), sentAtMs, true);
         }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceTicket.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceTask.java
@@ -3,18 +3,18 @@
 import org.wingstall.relay.wire.Piece;
 
 /** A piece that waits for its turn or is at work. */
-final class PieceTicket {
+final class PieceTask {
     private final Piece piece;
     private final Urgency urgency;
     private final Placement placement;
-    private final PieceOwner owner;
+    private final CompletionListener listener;
     private int calls;
     private boolean withdrawn;
 
     /** Told what became of a piece; on the request loop. */
     @FunctionalInterface
-    interface PieceOwner {
-        void done(PieceTicket ticket, MadePiece made);
+    interface CompletionListener {
+        void completed(PieceTask ticket, PieceOutcome made);
     }
 
     /**
@@ -24,13 +24,13 @@
      * @param resultBytes approximate size of its result
      * @param awayBytes what goes between failure domains when it is made in another one
      */
-    record Placement(String nearDomain, long resultBytes, long awayBytes) {}
+    record Placement(String nearDomain, long resultBytes, long crossDomainBytes) {}
 
-    PieceTicket(Piece piece, Urgency urgency, Placement placement, PieceOwner owner) {
+    PieceTask(Piece piece, Urgency urgency, Placement placement, CompletionListener owner) {
         this.piece = piece;
         this.urgency = urgency;
         this.placement = placement;
-        this.owner = owner;
+        this.listener = owner;
     }
 
     Piece piece() {
@@ -49,12 +49,12 @@
         return calls;
     }
 
-    void called() {
+    void countCall() {
         calls++;
     }
 
     /** Takes the last call back: the endpoint had no room, so it has not begun. */
-    void notCalled() {
+    void uncountCall() {
         calls--;
     }
 
@@ -67,7 +67,7 @@
         return withdrawn;
     }
 
-    void done(MadePiece made) {
-        owner.done(this, made);
+    void complete(PieceOutcome made) {
+        listener.completed(this, made);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolAdmission.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolAdmission.java
@@ -18,7 +18,7 @@
      * @param nowMs monotonic clock, in ms
      * @return those to turn away, and when to come back
      */
-    List<TurnedAway> turnedAway(List<PieceGroup> inOrder, PoolOutlook outlook, long nowMs);
+    List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext outlook, long nowMs);
 
     /**
      * A group that is turned away.
@@ -26,22 +26,22 @@
      * @param group the group
      * @param againMs time until there is likely room, in ms
      */
-    record TurnedAway(PieceGroup group, long againMs) {}
+    record RejectedGroup(PieceGroup group, long retryAfterMs) {}
 
     /** Everything waits until its time is over; the baseline. */
-    PoolAdmission TAKE_ALL = (inOrder, outlook, nowMs) -> List.of();
+    PoolAdmission ACCEPT_ALL = (inOrder, outlook, nowMs) -> List.of();
 
     /** Turns away at once what would not be done when its time is over, so late answers are made as long as they may be. */
-    PoolAdmission WHILE_DUE =
-            new ForecastAdmission((group, outlook) -> group.urgency().dueAtMs());
+    PoolAdmission UNTIL_DEADLINE =
+            new ForecastAdmission((group, outlook) -> group.urgency().deadlineAtMs());
 
     /**
      * Turns away at once what would be late, while more work arrives than the pool can do: a late answer is worth little to its
      * caller, who may come back, and the calls that it takes make others late. A pool that keeps up makes late answers, too, and
      * what other stages were done for is not given up for being late.
      */
-    PoolAdmission IN_TIME_UNDER_LOAD =
-            new ForecastAdmission((group, outlook) -> outlook.load() > 1 && !group.followsOthers()
+    PoolAdmission UNTIL_TARGET_UNDER_OVERLOAD =
+            new ForecastAdmission((group, outlook) -> outlook.load() > 1 && !group.hasPredecessors()
                     ? group.urgency().targetAtMs()
-                    : group.urgency().dueAtMs());
+                    : group.urgency().deadlineAtMs());
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolCall.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolCall.java
@@ -9,9 +9,9 @@
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.relay.config.PoolSpec;
 import org.wingstall.relay.endpoint.RelayEndpoint;
-import org.wingstall.relay.endpoint.StateQuestions.Purpose;
-import org.wingstall.relay.wire.AnswerHead;
+import org.wingstall.relay.endpoint.StateQueries.Purpose;
 import org.wingstall.relay.wire.PieceResult;
+import org.wingstall.relay.wire.ResponseHead;
 import org.wingstall.schema.check.InvalidDocumentException;
 
 /** One call for pieces at one endpoint. Confined to the request loop. */
@@ -19,39 +19,39 @@
     private static final Logger LOG = LogManager.getLogger(PoolCall.class);
     private static final int OK = 200;
 
-    /** Part of its expected time from which a call is overdue; endpoints of a service differ by less. */
+    /** FleetBudget of its expected time from which a call is overdue; endpoints of a service differ by less. */
     private static final double OVERDUE_FACTOR = 1.25;
 
     /** Time beyond that, in ms: the way there and back beside a packet that is late. */
-    private static final long OVERDUE_MS = 40;
+    private static final long OVERDUE_MARGIN_MS = 40;
 
     /** Pause between two questions to an endpoint that lives but has not answered the call, in ms. */
-    private static final long CHECK_AGAIN_MS = 300;
+    private static final long RECHECK_DELAY_MS = 300;
 
-    private final PoolParts parts;
+    private final PoolContext context;
     private final StagePool pool;
-    private final RoomLedger ledger;
+    private final ResultCapacityTracker capacity;
     private final RelayEndpoint endpoint;
     private final PoolSpec spec;
-    private final List<PieceTicket> tickets;
-    private final long beganMs;
+    private final List<PieceTask> tickets;
+    private final long startedMs;
     private final double expectedMs;
-    private boolean over;
+    private boolean closed;
 
     PoolCall(
-            PoolParts parts,
+            PoolContext parts,
             StagePool pool,
-            RoomLedger ledger,
+            ResultCapacityTracker ledger,
             RelayEndpoint endpoint,
             PoolSpec spec,
-            List<PieceTicket> tickets) {
-        this.parts = parts;
+            List<PieceTask> tickets) {
+        this.context = parts;
         this.pool = pool;
-        this.ledger = ledger;
+        this.capacity = ledger;
         this.endpoint = endpoint;
         this.spec = spec;
         this.tickets = tickets;
-        this.beganMs = parts.clock().nowMs();
+        this.startedMs = parts.clock().nowMs();
         this.expectedMs = pool.callMs(spec, tickets.size());
     }
 
@@ -65,88 +65,88 @@
 
     /** Returns when the call is likely over, in ms of the monotonic clock; one that is overdue as much later again. */
     long expectedEndAtMs(long nowMs) {
-        long endAtMs = beganMs + Math.round(expectedMs);
+        long endAtMs = startedMs + Math.round(expectedMs);
         return endAtMs > nowMs ? endAtMs : nowMs + (nowMs - endAtMs);
     }
 
     void begin() {
         endpoint.state().tryAcquire(Integer.MAX_VALUE);
-        for (PieceTicket ticket : tickets) {
-            ticket.called();
-            ledger.reserve(endpoint.key(), ticket.placement().resultBytes());
+        for (PieceTask ticket : tickets) {
+            ticket.countCall();
+            capacity.reserve(endpoint.key(), ticket.placement().resultBytes());
         }
-        var pieces = tickets.stream().map(PieceTicket::piece).toList();
+        var pieces = tickets.stream().map(PieceTask::piece).toList();
         var remainingMs = tickets.stream()
-                .map(ticket -> Math.max(1, ticket.urgency().dueAtMs() - beganMs))
+                .map(ticket -> Math.max(1, ticket.urgency().deadlineAtMs() - startedMs))
                 .toList();
-        parts.client()
+        context.client()
                 .call(
-                        parts.loop(),
-                        parts.wire().pieces(endpoint.identity(), pieces, remainingMs),
+                        context.loop(),
+                        context.endpointProtocol().pieces(endpoint.identity(), pieces, remainingMs),
                         pool.timeoutMs(spec, pieces.size()))
-                .whenCompleteAsync(this::ended, parts.loop());
-        checkIn(Math.round(OVERDUE_FACTOR * expectedMs) + OVERDUE_MS);
+                .whenCompleteAsync(this::ended, context.loop());
+        scheduleCheck(Math.round(OVERDUE_FACTOR * expectedMs) + OVERDUE_MARGIN_MS);
     }
 
     /** Asks an endpoint whose call is overdue whether it lives: one that stopped is found out in half the time. */
-    private void checkIn(long delayMs) {
-        parts.loop().schedule(this::check, delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleCheck(long delayMs) {
+        context.loop().schedule(this::check, delayMs, TimeUnit.MILLISECONDS);
     }
 
     private void check() {
-        if (!over) {
-            boolean asked = parts.reports()
-                    .ask(
+        if (!closed) {
+            boolean asked = context.stateQueries()
+                    .query(
                             endpoint,
                             Purpose.OVERDUE_CALL,
-                            report -> checkIn(CHECK_AGAIN_MS),
-                            () -> endpoint.stalled("a call is overdue and it does not answer"));
+                            report -> scheduleCheck(RECHECK_DELAY_MS),
+                            () -> endpoint.recordNoAnswer("a call is overdue and it does not answer"));
             if (!asked) {
-                checkIn(CHECK_AGAIN_MS);
+                scheduleCheck(RECHECK_DELAY_MS);
             }
         }
     }
 
     /** Gives the call up because its endpoint fell silent; its pieces are made elsewhere. */
     void abandon() {
-        if (!over) {
+        if (!closed) {
             end();
             lost("its endpoint fell silent");
-            pool.ended(this);
+            pool.callEnded(this);
         }
     }
 
     private void end() {
-        over = true;
+        closed = true;
         endpoint.state().release();
         tickets.forEach(
-                ticket -> ledger.release(endpoint.key(), ticket.placement().resultBytes()));
+                ticket -> capacity.release(endpoint.key(), ticket.placement().resultBytes()));
     }
 
     private void ended(HttpReply reply, Throwable failure) {
-        if (over) {
-            endedLate(reply);
+        if (closed) {
+            freeLateResults(reply);
             return;
         }
         end();
         if (failure != null) {
-            pool.crashes().lost(tickets, endpoint, failure);
+            pool.quarantine().callLost(tickets, endpoint, failure);
             unanswered(failure.getMessage());
         } else {
             answered(reply);
         }
-        pool.ended(this);
+        pool.callEnded(this);
     }
 
     /** Results of a call that was given up are of no use any more. */
-    private void endedLate(HttpReply reply) {
+    private void freeLateResults(HttpReply reply) {
         if (reply == null || reply.status() != OK) {
             return;
         }
         try {
-            for (PieceResult result : parts.wire().pieceResults(reply.body())) {
-                if (result.made()) {
-                    pool.free(MadePiece.made(result, endpoint.state().address(), null));
+            for (PieceResult result : context.endpointProtocol().pieceResults(reply.body())) {
+                if (result.success()) {
+                    pool.free(PieceOutcome.success(result, endpoint.state().address(), null));
                 }
             }
         } catch (InvalidDocumentException e) {
@@ -158,35 +158,35 @@
     }
 
     private void unanswered(String detail) {
-        endpoint.stalled(detail);
+        endpoint.recordNoAnswer(detail);
         lost(detail);
     }
 
     private void lost(String detail) {
-        pool.patience().lost();
+        pool.timeouts().recordLoss();
         LogEvent.warn("stage-call-lost")
                 .with("endpoint", endpoint.id())
                 .with("pieces", tickets.size())
-                .with("afterMs", parts.clock().nowMs() - beganMs)
+                .with("afterMs", context.clock().nowMs() - startedMs)
                 .with("detail", detail)
                 .to(LOG);
-        pool.again(tickets, PieceResult.Failure.UNANSWERED);
+        pool.retry(tickets, PieceResult.Failure.UNANSWERED);
     }
 
     private void answered(HttpReply reply) {
-        pool.took(spec, tickets.size(), parts.clock().nowMs() - beganMs);
-        AnswerHead head = parts.wire().answerHead(reply.status(), reply.headers());
-        head.load().ifPresent(endpoint.state()::reported);
-        parts.answers().seen(endpoint, head, beganMs);
+        pool.recordCallTime(spec, tickets.size(), context.clock().nowMs() - startedMs);
+        ResponseHead head = context.endpointProtocol().responseHead(reply.status(), reply.headers());
+        head.load().ifPresent(endpoint.state()::recordReportedLoad);
+        context.limitReader().readLimit(endpoint, head, startedMs);
         if (head.otherIncarnation()) {
-            parts.endpoints().markLeaving(endpoint, "another endpoint stands at its address");
+            context.endpoints().markLeaving(endpoint, "another endpoint stands at its address");
         }
         if (reply.status() != OK) {
-            pool.again(tickets, head.notRun() ? PieceResult.Failure.NO_ROOM : PieceResult.Failure.ERROR);
+            pool.retry(tickets, head.notExecuted() ? PieceResult.Failure.NO_ROOM : PieceResult.Failure.ERROR);
             return;
         }
         try {
-            List<PieceResult> results = parts.wire().pieceResults(reply.body());
+            List<PieceResult> results = context.endpointProtocol().pieceResults(reply.body());
             if (results.size() == tickets.size()) {
                 take(results);
             } else {
@@ -198,12 +198,12 @@
     }
 
     private void take(List<PieceResult> results) {
-        endpoint.answered(parts.clock().nowMs() - beganMs);
-        List<PieceTicket> withoutRoom = new ArrayList<>();
-        List<PieceTicket> failed = new ArrayList<>();
+        endpoint.recordAnswer(context.clock().nowMs() - startedMs);
+        List<PieceTask> withoutRoom = new ArrayList<>();
+        List<PieceTask> failed = new ArrayList<>();
         for (int i = 0; i < results.size(); i++) {
             PieceResult result = results.get(i);
-            PieceTicket ticket = tickets.get(i);
+            PieceTask ticket = tickets.get(i);
             if (result.failure() == PieceResult.Failure.NO_ROOM) {
                 withoutRoom.add(ticket);
             } else if (result.failure() == PieceResult.Failure.ERROR) {
@@ -213,22 +213,22 @@
             }
         }
         if (!withoutRoom.isEmpty()) {
-            pool.withoutRoom(endpoint, withoutRoom);
+            pool.rejectedForRoom(endpoint, withoutRoom);
         }
         if (!failed.isEmpty()) {
-            pool.again(failed, PieceResult.Failure.ERROR);
+            pool.retry(failed, PieceResult.Failure.ERROR);
         }
     }
 
-    private void end(PieceTicket ticket, PieceResult result) {
-        if (!result.made()) {
-            ticket.done(MadePiece.failed(result.failure()));
+    private void end(PieceTask ticket, PieceResult result) {
+        if (!result.success()) {
+            ticket.complete(PieceOutcome.failed(result.failure()));
             return;
         }
-        pool.crashes().made(ticket, endpoint, beganMs);
+        pool.quarantine().pieceSucceeded(ticket, endpoint, startedMs);
         long bytes = ticket.placement().resultBytes();
-        ledger.reserve(endpoint.key(), bytes);
-        ledger.made(endpoint.key(), bytes, result.handle(), spec.resultLifeMs());
-        ticket.done(MadePiece.made(result, endpoint.state().address(), null));
+        capacity.reserve(endpoint.key(), bytes);
+        capacity.stored(endpoint.key(), bytes, result.handle(), spec.resultTtlMs());
+        ticket.complete(PieceOutcome.success(result, endpoint.state().address(), null));
     }
 }
