--- a/relay/src/main/java/org/wingstall/relay/pool/PoolParts.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolContext.java
@@ -6,17 +6,17 @@
 import org.wingstall.core.time.MonotonicClock;
 import org.wingstall.net.http.HttpClient;
 import org.wingstall.relay.config.RelayConfig;
-import org.wingstall.relay.endpoint.LimitReader;
+import org.wingstall.relay.endpoint.AdvertisedLimitReader;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.endpoint.SendLimits;
-import org.wingstall.relay.endpoint.StateQuestions;
-import org.wingstall.relay.run.ServiceBudgets;
-import org.wingstall.relay.wire.EndpointWire;
+import org.wingstall.relay.endpoint.StateQueries;
+import org.wingstall.relay.run.ServiceRetryBudgets;
+import org.wingstall.relay.wire.EndpointProtocol;
 
 /**
  * What the pools of all services share.
  *
- * <p>{@code new StagePools(new PoolParts(loop, clock, client, wire, reports, endpoints, limits, config, budgets,
+ * <p>{@code new StagePools(new PoolContext(loop, clock, client, wire, reports, endpoints, limits, config, budgets,
  * quarantine, PoolPolicies.STANDARD))}
  *
  * @param loop the request loop
@@ -33,16 +33,16 @@
  * @param policies the decisions
  * @since 0.2
  */
-public record PoolParts(
+public record PoolContext(
         EventLoop loop,
         MonotonicClock clock,
         HttpClient client,
-        EndpointWire wire,
-        StateQuestions reports,
+        EndpointProtocol endpointProtocol,
+        StateQueries stateQueries,
         RelayEndpoints endpoints,
         SendLimits limits,
-        LimitReader answers,
+        AdvertisedLimitReader limitReader,
         Supplier<RelayConfig> config,
-        ServiceBudgets budgets,
+        ServiceRetryBudgets budgets,
         Quarantine quarantine,
         PoolPolicies policies) {}
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolLoad.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolLoad.java
@@ -17,18 +17,18 @@
     }
 
     /** Records work that came, in ms of one slot. */
-    void arrived(double workMs) {
-        fade();
+    void recordArrival(double workMs) {
+        decay();
         workMsPerMs += workMs / TIME_CONSTANT_MS;
     }
 
     /** Returns the work that arrives for each unit that so many slots can do. */
-    double against(int slots) {
-        fade();
+    double relativeTo(int slots) {
+        decay();
         return slots == 0 ? Double.MAX_VALUE : workMsPerMs / slots;
     }
 
-    private void fade() {
+    private void decay() {
         long nowMs = clock.nowMs();
         workMsPerMs *= Math.exp((asOfMs - nowMs) / TIME_CONSTANT_MS);
         asOfMs = nowMs;
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolPolicies.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolPolicies.java
@@ -3,7 +3,7 @@
 /**
  * The decisions of a pool; each is a function of what is known at a moment.
  *
- * <p>{@code new PoolParts(loop, clock, client, wire, endpoints, config, budgets, PoolPolicies.STANDARD)}
+ * <p>{@code new PoolContext(loop, clock, client, wire, endpoints, config, budgets, PoolPolicies.STANDARD)}
  *
  * @param order which pieces go first
  * @param admission which are turned away instead of waiting
@@ -12,10 +12,10 @@
  */
 public record PoolPolicies(GroupOrder order, PoolAdmission admission, CallPlanner planner) {
     /** What a gateway goes by. */
-    public static final PoolPolicies STANDARD =
-            new PoolPolicies(GroupOrder.EARLIEST_TARGET, PoolAdmission.IN_TIME_UNDER_LOAD, new WholeGroups());
+    public static final PoolPolicies STANDARD = new PoolPolicies(
+            GroupOrder.EARLIEST_TARGET, PoolAdmission.UNTIL_TARGET_UNDER_OVERLOAD, new WholeGroupPlanner());
 
     /** In the order of arrival, and everything waits. */
     public static final PoolPolicies BASELINE =
-            new PoolPolicies(GroupOrder.ARRIVAL, PoolAdmission.TAKE_ALL, new WholeGroups());
+            new PoolPolicies(GroupOrder.ARRIVAL, PoolAdmission.ACCEPT_ALL, new WholeGroupPlanner());
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolMoment.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolSnapshot.java
@@ -13,31 +13,31 @@
  * The endpoints that serve a pool at one moment, as the policies see them. Read once for a turn in which several calls may
  * be planned. Confined to the request loop.
  *
- * <p>{@code PoolMoment now = new PoolMoment(spec, serving, ledger, nowMs); planner.next(groups, now.makers(random), spec, nowMs)}
+ * <p>{@code PoolSnapshot now = new PoolSnapshot(spec, serving, ledger, nowMs); planner.next(groups, now.makers(random), spec, nowMs)}
  *
  * @param spec what an endpoint can do
  * @param serving endpoints that may get work, at least one
  * @param ledger room for results
  * @param nowMs monotonic clock, in ms
  */
-record PoolMoment(PoolSpec spec, List<RelayEndpoint> serving, RoomLedger ledger, long nowMs) {
+record PoolSnapshot(PoolSpec spec, List<RelayEndpoint> serving, ResultCapacityTracker capacity, long nowMs) {
 
     /** Returns endpoints with the slots and room that are left after the calls planned so far. */
-    List<CallPlanner.Maker> makers(List<RelayEndpoint> open, RandomGenerator random) {
-        return open.stream().map(endpoint -> maker(endpoint, random)).toList();
+    List<CallPlanner.EndpointCapacity> capacities(List<RelayEndpoint> open, RandomGenerator random) {
+        return open.stream().map(endpoint -> capacityOf(endpoint, random)).toList();
     }
 
-    private CallPlanner.Maker maker(RelayEndpoint endpoint, RandomGenerator random) {
-        return new CallPlanner.Maker(
+    private CallPlanner.EndpointCapacity capacityOf(RelayEndpoint endpoint, RandomGenerator random) {
+        return new CallPlanner.EndpointCapacity(
                 endpoint.id(),
                 endpoint.identity().failureDomain(),
                 spec.slots() - endpoint.state().inFlight(),
-                ledger.freeBytes(endpoint.key(), spec.roomBytes()),
+                capacity.freeBytes(endpoint.key(), spec.resultCapacityBytes()),
                 endpoint.state().estimatedLoad() + random.nextDouble() / 2);
     }
 
     /** Returns the endpoint of a planned call. */
-    RelayEndpoint endpointOf(CallPlanner.Maker maker) {
+    RelayEndpoint endpointOf(CallPlanner.EndpointCapacity maker) {
         return serving.stream()
                 .filter(endpoint -> endpoint.id().equals(maker.endpointId()))
                 .findFirst()
@@ -45,15 +45,16 @@
     }
 
     /** Returns when an endpoint surely has room for a group, in ms of the monotonic clock. */
-    long roomAtMs(PieceGroup group) {
+    long capacityAtMs(PieceGroup group) {
         return serving.stream()
-                .mapToLong(endpoint -> ledger.roomAtMs(endpoint.key(), spec.roomBytes(), group.neededBytes(spec)))
+                .mapToLong(endpoint ->
+                        capacity.capacityAtMs(endpoint.key(), spec.resultCapacityBytes(), group.neededBytes(spec)))
                 .min()
                 .orElse(nowMs);
     }
 
     /** Calls that are over when they should be still hold their slot for as long again, as far as anyone knows. */
-    PoolForecast forecast(Collection<PoolCall> underWay, CallTimes times) {
+    PoolForecast forecast(Collection<PoolCall> underWay, CallTimeEstimator times) {
         Set<String> ids = serving.stream().map(RelayEndpoint::id).collect(Collectors.toSet());
         List<Long> freeAtMs = new ArrayList<>();
         for (PoolCall call : underWay) {
@@ -66,6 +67,6 @@
                 freeAtMs.add(nowMs);
             }
         }
-        return new PoolForecast(freeAtMs, spec.batch(), pieces -> times.callMs(spec, pieces));
+        return new PoolForecast(freeAtMs, spec.maxBatchSize(), pieces -> times.callMs(spec, pieces));
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/RoomLedger.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ResultCapacityTracker.java
@@ -11,7 +11,7 @@
  * Counts the room that results take at the endpoints for which this box gathers pieces: from the call on, until they are
  * given up or their maker drops them. Confined to the request loop.
  */
-final class RoomLedger {
+final class ResultCapacityTracker {
     /**
      * Time for which an endpoint that had no room counts as full, in ms: what it holds that this box did not count, such as
      * results that another box gathered before, is given up about a call later.
@@ -19,20 +19,20 @@
     private static final long FULL_MS = 300;
 
     private final MonotonicClock clock;
-    private final Map<String, Full> full = new HashMap<>();
-    private final Map<String, Uncounted> uncounted = new HashMap<>();
+    private final Map<String, FullMark> full = new HashMap<>();
+    private final Map<String, UncountedResults> uncounted = new HashMap<>();
     private final Map<String, Double> usedBytes = new HashMap<>();
-    private final Map<String, Held> held = new LinkedHashMap<>();
+    private final Map<String, StoredResult> storedByHandle = new LinkedHashMap<>();
 
-    private record Held(String endpointId, double bytes, long untilMs) {}
+    private record StoredResult(String endpointId, double bytes, long untilMs) {}
 
     /** An endpoint that had no room for a result of some size. */
-    private record Full(double bytes, long untilMs) {}
+    private record FullMark(double bytes, long untilMs) {}
 
     /** Results that stand at an endpoint and were not made through this box in this life; they lapse by a time. */
-    private record Uncounted(double bytes, long untilMs) {}
+    private record UncountedResults(double bytes, long untilMs) {}
 
-    RoomLedger(MonotonicClock clock) {
+    ResultCapacityTracker(MonotonicClock clock) {
         this.clock = clock;
     }
 
@@ -40,14 +40,14 @@
     double freeBytes(String endpointId, double roomBytes) {
         long nowMs = clock.nowMs();
         double freeBytes = roomBytes - usedBytes(endpointId) - uncountedBytes(endpointId, nowMs);
-        Full mark = full.get(endpointId);
+        FullMark mark = full.get(endpointId);
         boolean marked = mark != null && mark.untilMs() > nowMs;
         return marked ? Math.min(freeBytes, mark.bytes() - 1) : freeBytes;
     }
 
     /** Records that an endpoint had no room for a result, whatever this box has counted; smaller ones may still fit. */
-    void noRoom(String endpointId, double bytes) {
-        full.put(endpointId, new Full(bytes, clock.nowMs() + FULL_MS));
+    void markFull(String endpointId, double bytes) {
+        full.put(endpointId, new FullMark(bytes, clock.nowMs() + FULL_MS));
     }
 
     /**
@@ -56,9 +56,9 @@
      *
      * @return bytes of results that were not counted
      */
-    double foundAtFirst(String endpointId, PoolSpec spec, double freeBytes) {
-        double bytes = Math.max(0, spec.roomBytes() - freeBytes);
-        uncounted.put(endpointId, new Uncounted(bytes, clock.nowMs() + spec.resultLifeMs()));
+    double recordInitialFreeBytes(String endpointId, PoolSpec spec, double freeBytes) {
+        double bytes = Math.max(0, spec.resultCapacityBytes() - freeBytes);
+        uncounted.put(endpointId, new UncountedResults(bytes, clock.nowMs() + spec.resultTtlMs()));
         return bytes;
     }
 
@@ -68,30 +68,31 @@
      *
      * @return bytes of results that were not counted
      */
-    double foundLater(String endpointId, PoolSpec spec, double freeBytes) {
+    double recordFreeBytes(String endpointId, PoolSpec spec, double freeBytes) {
         double before = uncountedBytes(endpointId, clock.nowMs());
-        double bytes = Math.min(before, Math.max(0, spec.roomBytes() - freeBytes - usedBytes(endpointId)));
+        double bytes = Math.min(before, Math.max(0, spec.resultCapacityBytes() - freeBytes - usedBytes(endpointId)));
         if (before > 0) {
             uncounted.put(
-                    endpointId, new Uncounted(bytes, uncounted.get(endpointId).untilMs()));
+                    endpointId,
+                    new UncountedResults(bytes, uncounted.get(endpointId).untilMs()));
         }
         return bytes;
     }
 
     /** Returns when results of a size surely have room that is taken by uncounted ones now, in ms of the clock. */
-    long roomAtMs(String endpointId, double roomBytes, double neededBytes) {
+    long capacityAtMs(String endpointId, double roomBytes, double neededBytes) {
         long nowMs = clock.nowMs();
         boolean blocked = roomBytes - uncountedBytes(endpointId, nowMs) < neededBytes;
         return blocked ? uncounted.get(endpointId).untilMs() : nowMs;
     }
 
     private double uncountedBytes(String endpointId, long nowMs) {
-        Uncounted known = uncounted.get(endpointId);
+        UncountedResults known = uncounted.get(endpointId);
         return known == null || known.untilMs() <= nowMs ? 0 : known.bytes();
     }
 
     private double usedBytes(String endpointId) {
-        dropOld();
+        dropExpired();
         return usedBytes.getOrDefault(endpointId, 0.0);
     }
 
@@ -106,24 +107,24 @@
     }
 
     /** Turns room that was taken for a piece into that of its result. */
-    void made(String endpointId, double bytes, String handle, long lifeMs) {
-        held.put(handle, new Held(endpointId, bytes, clock.nowMs() + lifeMs));
+    void stored(String endpointId, double bytes, String handle, long lifeMs) {
+        storedByHandle.put(handle, new StoredResult(endpointId, bytes, clock.nowMs() + lifeMs));
     }
 
     /** Gives a result's room back. */
     void freed(String handle) {
-        Held result = held.remove(handle);
+        StoredResult result = storedByHandle.remove(handle);
         if (result != null) {
             release(result.endpointId(), result.bytes());
         }
     }
 
     /** Results are kept in the order in which they were made, so the oldest come first. */
-    private void dropOld() {
+    private void dropExpired() {
         long nowMs = clock.nowMs();
-        Iterator<Held> oldest = held.values().iterator();
+        Iterator<StoredResult> oldest = storedByHandle.values().iterator();
         while (oldest.hasNext()) {
-            Held result = oldest.next();
+            StoredResult result = oldest.next();
             if (result.untilMs() > nowMs) {
                 return;
             }
--- a/relay/src/main/java/org/wingstall/relay/pool/ResultFreer.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ResultFreer.java
@@ -14,7 +14,7 @@
 import org.wingstall.net.http.HttpClient;
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.peer.PieceLinks;
-import org.wingstall.relay.wire.EndpointWire;
+import org.wingstall.relay.wire.EndpointProtocol;
 import org.wingstall.schema.peer.StageFreed;
 
 /**
@@ -25,21 +25,21 @@
     private static final Logger LOG = LogManager.getLogger(ResultFreer.class);
 
     /** Time for which results to give up are gathered, in ms; short against the 150 ms of the shortest call. */
-    private static final long GATHER_MS = 10;
+    private static final long BATCH_DELAY_MS = 10;
 
     /** Longest wait for the answer, in ms; a result that stays is dropped by its maker after some seconds. */
     private static final long TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
     private final HttpClient client;
-    private final EndpointWire wire;
+    private final EndpointProtocol endpointProtocol;
     private final PieceLinks links;
-    private final RoomLedger ledger;
-    private final Predicate<InetSocketAddress> spared;
-    private final Map<Holder, List<String>> gathered = new HashMap<>();
+    private final ResultCapacityTracker capacity;
+    private final Predicate<InetSocketAddress> rateLimited;
+    private final Map<ResultLocation, List<String>> pending = new HashMap<>();
 
     /** Where results lie, and the box to tell; null for this one. */
-    private record Holder(InetSocketAddress maker, String gatherer) {}
+    private record ResultLocation(InetSocketAddress endpointAddress, String coordinator) {}
 
     /**
      * Creates a freer.
@@ -54,60 +54,62 @@
     ResultFreer(
             EventLoop loop,
             HttpClient client,
-            EndpointWire wire,
+            EndpointProtocol wire,
             PieceLinks links,
-            RoomLedger ledger,
+            ResultCapacityTracker ledger,
             Predicate<InetSocketAddress> spared) {
-        this.spared = spared;
+        this.rateLimited = spared;
         this.loop = loop;
         this.client = client;
-        this.wire = wire;
+        this.endpointProtocol = wire;
         this.links = links;
-        this.ledger = ledger;
+        this.capacity = ledger;
     }
 
-    void free(MadePiece made) {
-        if (made.maker() != null) {
-            add(new Holder(made.maker(), made.gatherer()), made.result().handle());
+    void free(PieceOutcome made) {
+        if (made.endpointAddress() != null) {
+            add(
+                    new ResultLocation(made.endpointAddress(), made.coordinator()),
+                    made.result().handle());
         }
     }
 
     /** Gives up what a peer has no use for any more. */
     void free(StageFreed freed) {
-        Holder holder = new Holder(Addresses.parse(freed.getMaker()), null);
+        ResultLocation holder = new ResultLocation(Addresses.parse(freed.getMaker()), null);
         freed.getHandles().forEach(handle -> add(holder, handle));
     }
 
-    private void add(Holder holder, String handle) {
-        if (gathered.isEmpty()) {
-            loop.schedule(this::send, GATHER_MS, TimeUnit.MILLISECONDS);
+    private void add(ResultLocation holder, String handle) {
+        if (pending.isEmpty()) {
+            loop.schedule(this::send, BATCH_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        gathered.computeIfAbsent(holder, key -> new ArrayList<>()).add(handle);
+        pending.computeIfAbsent(holder, key -> new ArrayList<>()).add(handle);
     }
 
     private void send() {
-        Map<Holder, List<String>> now = Map.copyOf(gathered);
-        gathered.clear();
+        Map<ResultLocation, List<String>> now = Map.copyOf(pending);
+        pending.clear();
         now.forEach((holder, handles) -> {
-            if (holder.gatherer() == null || !links.tellFreed(holder.gatherer(), encode(holder, handles))) {
-                freeAtMaker(holder.maker(), handles);
+            if (holder.coordinator() == null || !links.tellFreed(holder.coordinator(), encode(holder, handles))) {
+                freeAtEndpoint(holder.endpointAddress(), handles);
             }
         });
     }
 
-    private static StageFreed encode(Holder holder, List<String> handles) {
-        return new StageFreed(Addresses.format(holder.maker()), handles);
+    private static StageFreed encode(ResultLocation holder, List<String> handles) {
+        return new StageFreed(Addresses.format(holder.endpointAddress()), handles);
     }
 
-    private void freeAtMaker(InetSocketAddress maker, List<String> handles) {
-        if (spared.test(maker)) {
+    private void freeAtEndpoint(InetSocketAddress maker, List<String> handles) {
+        if (rateLimited.test(maker)) {
             // The results lapse by themselves, and the room stays counted until then.
             return;
         }
-        client.call(loop, wire.free(maker, handles), TIMEOUT_MS)
+        client.call(loop, endpointProtocol.free(maker, handles), TIMEOUT_MS)
                 .whenCompleteAsync(
                         (reply, failure) -> {
-                            handles.forEach(ledger::freed);
+                            handles.forEach(capacity::freed);
                             if (failure != null) {
                                 LogEvent.debug("results-not-freed")
                                         .with("maker", maker)
--- a/relay/src/main/java/org/wingstall/relay/pool/RoomReports.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/RoomReports.java
@@ -9,8 +9,8 @@
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.relay.config.PoolSpec;
 import org.wingstall.relay.endpoint.RelayEndpoint;
-import org.wingstall.relay.endpoint.StateQuestions;
-import org.wingstall.relay.endpoint.StateQuestions.Purpose;
+import org.wingstall.relay.endpoint.StateQueries;
+import org.wingstall.relay.endpoint.StateQueries.Purpose;
 import org.wingstall.relay.wire.EndpointReport;
 
 /**
@@ -21,51 +21,52 @@
     private static final Logger LOG = LogManager.getLogger(RoomReports.class);
 
     /** Pause until an endpoint with uncounted results is asked again, in ms; reports lag by some hundred ms. */
-    private static final long AGAIN_MS = 250;
+    private static final long QUERY_INTERVAL_MS = 250;
 
     /** Least part of an endpoint's room that uncounted results take for it to be asked again. */
-    private static final double LEAST_PART = 0.02;
+    private static final double MIN_UNCOUNTED_FRACTION = 0.02;
 
     private final EventLoop loop;
-    private final StateQuestions reports;
-    private final RoomLedger ledger;
+    private final StateQueries stateQueries;
+    private final ResultCapacityTracker capacity;
 
-    RoomReports(EventLoop loop, StateQuestions reports, RoomLedger ledger) {
+    RoomReports(EventLoop loop, StateQueries reports, ResultCapacityTracker ledger) {
         this.loop = loop;
-        this.reports = reports;
-        this.ledger = ledger;
+        this.stateQueries = reports;
+        this.capacity = ledger;
     }
 
     /** Asks endpoints to which this box has sent nothing for the life of a result. */
-    void askAtFirst(List<RelayEndpoint> endpoints, PoolSpec spec) {
-        endpoints.forEach(endpoint -> ask(endpoint, spec, true));
+    void queryInitial(List<RelayEndpoint> endpoints, PoolSpec spec) {
+        endpoints.forEach(endpoint -> query(endpoint, spec, true));
     }
 
-    private void ask(RelayEndpoint endpoint, PoolSpec spec, boolean first) {
+    private void query(RelayEndpoint endpoint, PoolSpec spec, boolean first) {
         // An endpoint that does not answer here is found out by its calls.
-        reports.ask(
+        stateQueries.query(
                 endpoint,
                 Purpose.FREE_ROOM,
-                report -> report.map(EndpointReport::mostFreeBytes)
+                report -> report.map(EndpointReport::maxFreeBytes)
                         .filter(OptionalDouble::isPresent)
-                        .ifPresent(free -> found(endpoint, spec, free.getAsDouble(), first)),
+                        .ifPresent(free -> reported(endpoint, spec, free.getAsDouble(), first)),
                 () -> {});
     }
 
-    private void found(RelayEndpoint endpoint, PoolSpec spec, double freeBytes, boolean first) {
+    private void reported(RelayEndpoint endpoint, PoolSpec spec, double freeBytes, boolean first) {
         double uncounted = first
-                ? ledger.foundAtFirst(endpoint.key(), spec, freeBytes)
-                : ledger.foundLater(endpoint.key(), spec, freeBytes);
+                ? capacity.recordInitialFreeBytes(endpoint.key(), spec, freeBytes)
+                : capacity.recordFreeBytes(endpoint.key(), spec, freeBytes);
         if (uncounted > 0) {
             LogEvent.info("uncounted-results")
                     .with("endpoint", endpoint.id())
-                    .with("roomBytes", spec.roomBytes())
+                    .with("roomBytes", spec.resultCapacityBytes())
                     .with("freeBytes", freeBytes)
                     .with("uncountedBytes", uncounted)
                     .to(LOG);
         }
-        if (uncounted > LEAST_PART * spec.roomBytes() && !endpoint.state().leaving()) {
-            loop.schedule(() -> ask(endpoint, spec, false), AGAIN_MS, TimeUnit.MILLISECONDS);
+        if (uncounted > MIN_UNCOUNTED_FRACTION * spec.resultCapacityBytes()
+                && !endpoint.state().leaving()) {
+            loop.schedule(() -> query(endpoint, spec, false), QUERY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/StageGraph.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StageGraph.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.wingstall.relay.config.Route;
 import org.wingstall.relay.config.StageSpec;
-import org.wingstall.relay.engine.EngineInputs;
+import org.wingstall.relay.engine.InputLocation;
 import org.wingstall.relay.wire.Piece;
 import org.wingstall.relay.wire.PieceResult;
 import org.wingstall.relay.wire.RelayRequest;
@@ -47,38 +47,38 @@
     /** A stage under way; its pieces' ends come in any order. */
     private static final class StageProgress {
         private final StageSpec spec;
-        private final MadePiece[] made;
-        private final List<PieceTicket> tickets = new ArrayList<>();
-        private boolean begun;
-        private boolean given;
-        private int left;
-        private long beganMs;
+        private final PieceOutcome[] outcomes;
+        private final List<PieceTask> tickets = new ArrayList<>();
+        private boolean started;
+        private boolean resultsFreed;
+        private int remaining;
+        private long startedMs;
         private long doneMs;
 
         StageProgress(StageSpec spec, int pieces) {
             this.spec = spec;
-            this.made = new MadePiece[pieces];
-            this.left = pieces;
+            this.outcomes = new PieceOutcome[pieces];
+            this.remaining = pieces;
         }
 
         boolean done() {
-            return left == 0;
+            return remaining == 0;
         }
 
         /** Returns what became of the stage so far, such as "stage 0 at 'pay-ledger': 2 of 2 pieces, 310 ms, by kgn-a-1". */
         String progress(long nowMs) {
             String by = results()
-                    .map(MadePiece::gatherer)
+                    .map(PieceOutcome::coordinator)
                     .map(box -> box == null ? "this box" : box)
                     .distinct()
                     .collect(Collectors.joining(" and "));
-            long tookMs = (done() ? doneMs : nowMs) - beganMs;
-            return "stage " + spec.index() + " at '" + spec.service() + "': " + (made.length - left) + " of "
-                    + made.length + " pieces, " + tookMs + " ms" + (by.isEmpty() ? "" : ", by " + by);
+            long tookMs = (done() ? doneMs : nowMs) - startedMs;
+            return "stage " + spec.index() + " at '" + spec.service() + "': " + (outcomes.length - remaining) + " of "
+                    + outcomes.length + " pieces, " + tookMs + " ms" + (by.isEmpty() ? "" : ", by " + by);
         }
 
-        Stream<MadePiece> results() {
-            return Stream.of(made).filter(piece -> piece != null);
+        Stream<PieceOutcome> results() {
+            return Stream.of(outcomes).filter(piece -> piece != null);
         }
     }
 
@@ -109,7 +109,7 @@
     public List<String> outputs() {
         List<String> handles = new ArrayList<>();
         for (StageProgress stage : stages) {
-            if (readersOf(stage).isEmpty()) {
+            if (successors(stage).isEmpty()) {
                 stage.results().map(piece -> piece.result().handle()).forEach(handles::add);
             }
         }
@@ -117,23 +117,23 @@
     }
 
     /** Returns the failure domain where most of what the request itself reads lies. */
-    public EngineInputs outputPlace() {
+    public InputLocation outputLocation() {
         Map<String, Long> bytes = new HashMap<>();
         for (StageProgress stage : stages) {
-            if (readersOf(stage).isEmpty()) {
+            if (successors(stage).isEmpty()) {
                 stage.results().forEach(made -> bytes.merge(pools.domainOf(made), stage.spec.resultBytes(), Long::sum));
             }
         }
         return bytes.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
-                .map(most -> new EngineInputs(most.getKey(), most.getValue()))
-                .orElse(EngineInputs.NONE);
+                .map(most -> new InputLocation(most.getKey(), most.getValue()))
+                .orElse(InputLocation.NONE);
     }
 
     /** Returns how far each stage that has begun came, for the log. */
     public List<String> progress() {
         return stages.stream()
-                .filter(stage -> stage.begun && stage.made.length > 0)
+                .filter(stage -> stage.started && stage.outcomes.length > 0)
                 .map(stage -> stage.progress(pools.nowMs()))
                 .toList();
     }
@@ -145,15 +145,15 @@
         }
         closed = true;
         for (StageProgress stage : stages) {
-            stage.tickets.forEach(PieceTicket::withdraw);
-            giveUp(stage);
+            stage.tickets.forEach(PieceTask::withdraw);
+            freeResults(stage);
         }
         pools.withdrawn();
     }
 
     private void advance() {
         for (StageProgress stage : List.copyOf(stages)) {
-            boolean ready = !stage.begun && before(stage).stream().allMatch(StageProgress::done);
+            boolean ready = !stage.started && predecessors(stage).stream().allMatch(StageProgress::done);
             if (ready && !closed) {
                 start(stage);
             }
@@ -164,31 +164,32 @@
         }
     }
 
-    private List<StageProgress> before(StageProgress stage) {
-        return stage.spec.after().stream().map(stages::get).toList();
+    private List<StageProgress> predecessors(StageProgress stage) {
+        return stage.spec.dependencies().stream().map(stages::get).toList();
     }
 
-    private List<StageProgress> readersOf(StageProgress stage) {
+    private List<StageProgress> successors(StageProgress stage) {
         return stages.stream()
-                .filter(other -> other.made.length > 0)
-                .filter(other -> other.spec.after().contains(stage.spec.index()))
+                .filter(other -> other.outcomes.length > 0)
+                .filter(other -> other.spec.dependencies().contains(stage.spec.index()))
                 .toList();
     }
 
     private void start(StageProgress stage) {
-        stage.begun = true;
-        stage.beganMs = pools.nowMs();
-        List<String> inputs = before(stage).stream()
+        stage.started = true;
+        stage.startedMs = pools.nowMs();
+        List<String> inputs = predecessors(stage).stream()
                 .flatMap(StageProgress::results)
                 .map(made -> made.result().handle())
                 .toList();
         String key = inputs.isEmpty() ? request.pieceKey() : null;
-        Urgency stageUrgency = new Urgency(urgency.rank(), urgency.targetAtMs() - laterMs(stage), urgency.dueAtMs());
-        PieceTicket.Placement placement = placement(stage);
-        for (int i = 0; i < stage.made.length; i++) {
+        Urgency stageUrgency =
+                new Urgency(urgency.rank(), urgency.targetAtMs() - successorsMs(stage), urgency.deadlineAtMs());
+        PieceTask.Placement placement = placement(stage);
+        for (int i = 0; i < stage.outcomes.length; i++) {
             Piece piece = new Piece(request.id(), stage.spec.index(), i, key, inputs, request.pieceKey());
             stage.tickets.add(
-                    new PieceTicket(piece, stageUrgency, placement, (ticket, made) -> ended(stage, ticket, made)));
+                    new PieceTask(piece, stageUrgency, placement, (ticket, made) -> ended(stage, ticket, made)));
         }
         if (!stage.tickets.isEmpty()) {
             pools.submit(stage.spec.service(), stage.tickets);
@@ -196,20 +197,20 @@
     }
 
     /** Returns where a stage's pieces save the most bytes between domains: where the inputs lie, or where the reader is. */
-    private PieceTicket.Placement placement(StageProgress stage) {
+    private PieceTask.Placement placement(StageProgress stage) {
         long resultBytes = stage.spec.resultBytes();
-        long inputBytes = before(stage).stream()
-                .mapToLong(input -> input.made.length * input.spec.resultBytes())
+        long inputBytes = predecessors(stage).stream()
+                .mapToLong(input -> input.outcomes.length * input.spec.resultBytes())
                 .sum();
-        long outputBytes = readersOf(stage).isEmpty() && !readerDomain.isEmpty() ? resultBytes : 0;
+        long outputBytes = successors(stage).isEmpty() && !readerDomain.isEmpty() ? resultBytes : 0;
         if (inputBytes > outputBytes) {
-            String inputDomain = mostCommon(before(stage).stream()
+            String inputDomain = mostCommon(predecessors(stage).stream()
                     .flatMap(StageProgress::results)
                     .map(pools::domainOf)
                     .toList());
-            return new PieceTicket.Placement(inputDomain, resultBytes, inputBytes);
+            return new PieceTask.Placement(inputDomain, resultBytes, inputBytes);
         }
-        return new PieceTicket.Placement(outputBytes > 0 ? readerDomain : "", resultBytes, outputBytes);
+        return new PieceTask.Placement(outputBytes > 0 ? readerDomain : "", resultBytes, outputBytes);
     }
 
     private static String mostCommon(List<String> domains) {
@@ -219,42 +220,42 @@
     }
 
     /** Returns the time that the stages after one take while their pools keep up, in ms. */
-    private long laterMs(StageProgress stage) {
+    private long successorsMs(StageProgress stage) {
         long longestMs = 0;
-        for (StageProgress reader : readersOf(stage)) {
-            long ownMs = pools.usualMs(reader.spec, reader.made.length);
-            longestMs = Math.max(longestMs, ownMs + laterMs(reader));
+        for (StageProgress reader : successors(stage)) {
+            long ownMs = pools.expectedMs(reader.spec, reader.outcomes.length);
+            longestMs = Math.max(longestMs, ownMs + successorsMs(reader));
         }
         return longestMs;
     }
 
-    private void ended(StageProgress stage, PieceTicket ticket, MadePiece made) {
+    private void ended(StageProgress stage, PieceTask ticket, PieceOutcome made) {
         if (closed) {
             pools.freer().free(made);
-        } else if (!made.result().made()) {
+        } else if (!made.result().success()) {
             close();
-            listener.stageFailed(stage.spec, made.result().failure(), made.againMs());
+            listener.stageFailed(stage.spec, made.result().failure(), made.retryAfterMs());
         } else {
-            stage.made[ticket.piece().index()] = made;
-            stage.left--;
+            stage.outcomes[ticket.piece().index()] = made;
+            stage.remaining--;
             if (stage.done()) {
                 stage.doneMs = pools.nowMs();
-                before(stage).forEach(this::giveUpIfRead);
+                predecessors(stage).forEach(this::freeResultsIfRead);
                 advance();
             }
         }
     }
 
-    private void giveUpIfRead(StageProgress stage) {
-        Collection<StageProgress> readers = readersOf(stage);
+    private void freeResultsIfRead(StageProgress stage) {
+        Collection<StageProgress> readers = successors(stage);
         if (readers.stream().allMatch(StageProgress::done)) {
-            giveUp(stage);
+            freeResults(stage);
         }
     }
 
-    private void giveUp(StageProgress stage) {
-        if (!stage.given) {
-            stage.given = true;
+    private void freeResults(StageProgress stage) {
+        if (!stage.resultsFreed) {
+            stage.resultsFreed = true;
             stage.results().forEach(pools.freer()::free);
         }
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/StagePools.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StagePools.java
@@ -28,19 +28,19 @@
     /** Pause between two looks at whether a box that gathers is heard, in ms; short against the shortest target. */
     private static final long SILENCE_CHECK_MS = 100;
 
-    /** Part of a call without pieces for which a group waits until a slot is free, while the pool keeps up. */
-    private static final double SLOT_WAIT_PART = 0.5;
+    /** FleetBudget of a call without pieces for which a group waits until a slot is free, while the pool keeps up. */
+    private static final double SLOT_WAIT_FRACTION = 0.5;
 
-    private final PoolParts parts;
+    private final PoolContext context;
     private final RandomGenerator random;
-    private final RoomLedger ledger;
-    private final RoomReports room;
+    private final ResultCapacityTracker capacity;
+    private final RoomReports roomReports;
     private final ResultFreer freer;
     private final Map<String, StagePool> pools = new HashMap<>();
     private final PeerMesh mesh;
-    private final PieceGathering gathering;
-    private final AskedPieces asked;
-    private final GatheredPieces gathered;
+    private final CoordinatorSelector coordinators;
+    private final DelegatedPieces delegated;
+    private final PeerPieces peerPieces;
 
     /**
      * Creates pools without pieces.
@@ -50,29 +50,33 @@
      * @param mesh links to other boxes
      * @param gathering says which box gathers the pieces of a service
      */
-    public StagePools(PoolParts parts, RandomGenerator random, PeerMesh mesh, PieceGathering gathering) {
-        this.parts = parts;
+    public StagePools(PoolContext parts, RandomGenerator random, PeerMesh mesh, CoordinatorSelector coordinators) {
+        this.context = parts;
         this.random = random;
         this.mesh = mesh;
-        this.gathering = gathering;
-        this.ledger = new RoomLedger(parts.clock());
-        this.room = new RoomReports(parts.loop(), parts.reports(), ledger);
-        this.freer = new ResultFreer(parts.loop(), parts.client(), parts.wire(), mesh.pieces(), ledger, this::spared);
-        this.asked = new AskedPieces(mesh.pieces(), parts.clock(), this::submit);
-        this.gathered = new GatheredPieces(mesh.pieces(), parts.clock(), this);
+        this.coordinators = coordinators;
+        this.capacity = new ResultCapacityTracker(parts.clock());
+        this.roomReports = new RoomReports(parts.loop(), parts.stateQueries(), capacity);
+        this.freer = new ResultFreer(
+                parts.loop(), parts.client(), parts.endpointProtocol(), mesh.pieces(), capacity, this::rateLimited);
+        this.delegated = new DelegatedPieces(mesh.pieces(), parts.clock(), this::submit);
+        this.peerPieces = new PeerPieces(mesh.pieces(), parts.clock(), this);
     }
 
-    private boolean spared(InetSocketAddress maker) {
-        return parts.endpoints().at(maker).map(parts.answers()::limited).orElse(false);
+    private boolean rateLimited(InetSocketAddress maker) {
+        return context.endpoints()
+                .findByAddress(maker)
+                .map(context.limitReader()::limited)
+                .orElse(false);
     }
 
     /** Begins to watch the boxes that gather for this one. */
     public void start() {
-        PeriodicTask.start(parts.loop(), "silent-gatherers", () -> SILENCE_CHECK_MS, this::leaveSilent);
+        PeriodicTask.start(context.loop(), "silent-gatherers", () -> SILENCE_CHECK_MS, this::resubmitFromSilentBoxes);
     }
 
-    private void leaveSilent() {
-        asked.boxes().stream().filter(box -> !mesh.peers().heard(box)).forEach(asked::lost);
+    private void resubmitFromSilentBoxes() {
+        delegated.boxes().stream().filter(box -> !mesh.peers().heard(box)).forEach(delegated::boxLost);
     }
 
     /**
@@ -94,32 +98,32 @@
     }
 
     /** Has pieces made by the box that gathers them, which may be this one. */
-    void submit(String service, List<PieceTicket> tickets) {
-        String gatherer = gathering.gathererOf(service);
-        boolean given = gatherer != null && asked.ask(gatherer, service, tickets);
+    void submit(String service, List<PieceTask> tickets) {
+        String coordinator = coordinators.coordinatorOf(service);
+        boolean given = coordinator != null && delegated.delegate(coordinator, service, tickets);
         if (!given) {
-            of(service).submit(tickets);
+            pool(service).submit(tickets);
         }
     }
 
     /** Records that some tickets were withdrawn. */
     void withdrawn() {
-        asked.tellWithdrawn();
+        delegated.announceWithdrawn();
     }
 
     @Override
     public void workCame(String boxId, long correlation, StageWork work) {
-        gathered.workCame(boxId, correlation, work);
+        peerPieces.workReceived(boxId, correlation, work);
     }
 
     @Override
     public void withdrawn(String boxId, long correlation) {
-        gathered.withdrawn(boxId, correlation);
+        peerPieces.withdrawn(boxId, correlation);
     }
 
     @Override
     public void resultCame(String boxId, long correlation, StageResult result) {
-        asked.resultCame(boxId, correlation, result);
+        delegated.resultReceived(boxId, correlation, result);
     }
 
     @Override
@@ -129,8 +133,8 @@
 
     @Override
     public void unlinked(String boxId) {
-        gathered.unlinked(boxId);
-        asked.lost(boxId);
+        peerPieces.unlinked(boxId);
+        delegated.boxLost(boxId);
     }
 
     /** Returns the pieces that wait in all pools. */
@@ -139,8 +143,8 @@
     }
 
     /** Offers what waits again, after endpoints came or went. */
-    public void offerAll() {
-        List.copyOf(pools.values()).forEach(StagePool::offer);
+    public void dispatchAll() {
+        List.copyOf(pools.values()).forEach(StagePool::dispatch);
     }
 
     /** Has the work that an endpoint holds done elsewhere, since it fell silent. */
@@ -151,27 +155,29 @@
         }
     }
 
-    StagePool of(String service) {
-        return pools.computeIfAbsent(service, name -> new StagePool(name, parts, ledger, room, freer, random));
+    StagePool pool(String service) {
+        return pools.computeIfAbsent(
+                service, name -> new StagePool(name, context, capacity, roomReports, freer, random));
     }
 
     long nowMs() {
-        return parts.clock().nowMs();
+        return context.clock().nowMs();
     }
 
     /** Returns the usual time of a stage's pieces, in ms; 0 while nothing is known of the service. */
-    long usualMs(StageSpec stage, int pieces) {
-        return parts.config()
+    long expectedMs(StageSpec stage, int pieces) {
+        return context.config()
                 .get()
                 .service(stage.service())
                 .flatMap(ServiceSpec::pool)
-                .map(spec -> Math.round(spec.callMs(Math.min(pieces, spec.batch())) + SLOT_WAIT_PART * spec.baseMs()))
+                .map(spec -> Math.round(
+                        spec.callMs(Math.min(pieces, spec.maxBatchSize())) + SLOT_WAIT_FRACTION * spec.baseMs()))
                 .orElse(0L);
     }
 
     /** Returns the failure domain where a result lies; empty when it is not known. */
-    String domainOf(MadePiece made) {
-        return parts.endpoints().domainAt(made.maker());
+    String domainOf(PieceOutcome made) {
+        return context.endpoints().domainAt(made.endpointAddress());
     }
 
     ResultFreer freer() {
--- a/relay/src/main/java/org/wingstall/relay/pool/Urgency.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/Urgency.java
@@ -11,4 +11,4 @@
  * @param dueAtMs when its time is over, in ms of the monotonic clock
  * @since 0.2
  */
-public record Urgency(int rank, long targetAtMs, long dueAtMs) {}
+public record Urgency(int rank, long targetAtMs, long deadlineAtMs) {}
--- a/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
@@ -9,39 +9,39 @@
 import org.wingstall.net.http.TransportException;
 import org.wingstall.relay.endpoint.RelayEndpoint;
 import org.wingstall.relay.log.EndpointLoss;
-import org.wingstall.relay.wire.AnswerHead;
 import org.wingstall.relay.wire.EndpointCall;
 import org.wingstall.relay.wire.RelayRequest;
+import org.wingstall.relay.wire.ResponseHead;
 
 /** One sending of a request to an endpoint. Confined to the request loop. */
 final class EndpointAttempt implements ResponseListener {
     /** Longest wait for a connection, in ms; the way there and back takes about one, a busy box some tens. */
-    private static final int CONNECT_MS = 250;
+    private static final int CONNECT_TIMEOUT_MS = 250;
 
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final RelayRequest request;
-    private final EndpointCall wanted;
+    private final EndpointCall endpointCall;
     private final RelayEndpoint endpoint;
     private final List<String> inputs;
-    private final CrashGuard crashes;
+    private final RunQuarantine quarantine;
     private final Owner owner;
-    private final long beganMs;
+    private final long startedAtMs;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private HttpExchange exchange;
-    private AnswerHead head;
-    private long headMs;
+    private ResponseHead head;
+    private long headAtMs;
     private boolean streaming;
     private boolean ended;
 
     /** The request that the attempt is for. */
     interface Owner {
         /** The request goes out now; from here on the endpoint may run it. */
-        void handedOver();
+        void requestSent();
 
         /** Returns the way of the answer to the caller. */
-        AnswerRelay answer();
+        ResponseForwarder response();
 
         /** The endpoint began to answer, so it has read its inputs. */
         void firstByte();
@@ -50,49 +50,50 @@
         void complete(int status);
 
         /** Nothing was sent. */
-        void unsent(EndpointAttempt ended, String detail);
+        void notSent(EndpointAttempt ended, String detail);
 
         /** The endpoint states that it did not run the request. */
         void notRun(EndpointAttempt ended, String detail);
 
         /** Another endpoint stands at the address, so the one that was meant has not been asked. */
-        void misdirected(EndpointAttempt ended, String detail);
+        void wrongIncarnation(EndpointAttempt ended, String detail);
 
         /** There is no whole answer; the request may have run. */
         void lost(EndpointAttempt ended, String detail);
 
         /** Returns whether a failure that the endpoint answered with goes to the caller. */
-        boolean failedAnswerIsFinal(int status);
+        boolean forwardsFailure(int status);
 
         /** The endpoint answered with a failure, and another one is to be asked. */
         void failedAtEndpoint(EndpointAttempt ended, int status);
     }
 
     EndpointAttempt(
-            RelayParts parts,
+            RelayContext context,
             RelayRequest request,
-            EndpointCall wanted,
+            EndpointCall endpointCall,
             RelayEndpoint endpoint,
             List<String> inputs,
-            CrashGuard crashes,
+            RunQuarantine quarantine,
             Owner owner) {
-        this.parts = parts;
+        this.context = context;
         this.request = request;
-        this.wanted = wanted;
+        this.endpointCall = endpointCall;
         this.endpoint = endpoint;
         this.inputs = inputs;
-        this.crashes = crashes;
+        this.quarantine = quarantine;
         this.owner = owner;
-        this.beganMs = parts.clock().nowMs();
+        this.startedAtMs = context.clock().nowMs();
     }
 
     List<String> inputs() {
         return inputs;
     }
 
-    void begin() {
+    void start() {
         endpoint.state().tryAcquire(Integer.MAX_VALUE);
-        exchange = parts.client().send(parts.loop(), parts.wire().call(request, wanted), CONNECT_MS, this);
+        exchange = context.client()
+                .send(context.loop(), context.endpointProtocol().call(request, endpointCall), CONNECT_TIMEOUT_MS, this);
         if (ended) {
             exchange.cancel();
         }
@@ -100,38 +101,38 @@
 
     /** Ends the attempt without a word to its owner; the endpoint drops the request when the connection closes. */
     void cancel() {
-        if (end() && exchange != null) {
+        if (markEnded() && exchange != null) {
             exchange.cancel();
         }
     }
 
     @Override
     public void requestWritten() {
-        owner.handedOver();
+        owner.requestSent();
     }
 
     @Override
     public void head(int status, HttpHeaders headers) {
-        head = parts.wire().answerHead(status, headers);
-        headMs = parts.clock().nowMs();
-        head.load().ifPresent(endpoint.state()::reported);
-        parts.answers().seen(endpoint, head, beganMs);
-        if (head.notRun()) {
+        head = context.endpointProtocol().responseHead(status, headers);
+        headAtMs = context.clock().nowMs();
+        head.load().ifPresent(endpoint.state()::recordReportedLoad);
+        context.limitReader().readLimit(endpoint, head, startedAtMs);
+        if (head.notExecuted()) {
             return;
         }
         boolean mine = request.id().equals(head.requestId());
         boolean whole = !head.success() || head.signed();
         if (!mine || !whole) {
-            parts.metrics().answerDropped();
-            breakOff(mine ? "a success without signature" : "an answer to another request");
+            context.metrics().recordDroppedResponse();
+            abandon(mine ? "a success without signature" : "an answer to another request");
             return;
         }
         owner.firstByte();
         streaming = head.success() && head.streamed();
         if (streaming) {
-            endpoint.answered(parts.clock().nowMs() - beganMs);
-            owner.answer().begin(status, head.toCaller());
-            owner.answer().onKeepsUp(() -> exchange.reading(true));
+            endpoint.recordAnswer(context.clock().nowMs() - startedAtMs);
+            owner.response().start(status, head.callerHeaders());
+            owner.response().onWritable(() -> exchange.reading(true));
         }
     }
 
@@ -141,7 +142,7 @@
             return;
         }
         if (streaming) {
-            if (!owner.answer().part(part)) {
+            if (!owner.response().forwardPart(part)) {
                 exchange.reading(false);
             }
             return;
@@ -156,14 +157,14 @@
         if (ended || head == null) {
             return;
         }
-        if (head.notRun()) {
-            turnedAway();
+        if (head.notExecuted()) {
+            rejected();
         } else if (streaming) {
             endStream();
         } else if (head.success()) {
-            end();
-            endpoint.answered(parts.clock().nowMs() - beganMs);
-            crashes.answered(endpoint, beganMs, true);
+            markEnded();
+            endpoint.recordAnswer(context.clock().nowMs() - startedAtMs);
+            quarantine.answered(endpoint, startedAtMs, true);
             deliver();
         } else {
             failed(head.status());
@@ -171,9 +172,9 @@
     }
 
     private void endStream() {
-        end();
-        if (owner.answer().end()) {
-            crashes.answered(endpoint, beganMs, true);
+        markEnded();
+        if (owner.response().end()) {
+            quarantine.answered(endpoint, startedAtMs, true);
             owner.complete(head.status());
         } else {
             owner.lost(this, "the stream ended within an event");
@@ -181,31 +182,31 @@
     }
 
     private void deliver() {
-        owner.answer().whole(head.status(), head.toCaller(), body.toByteArray());
+        owner.response().forwardWhole(head.status(), head.callerHeaders(), body.toByteArray());
         owner.complete(head.status());
     }
 
     private void failed(int status) {
-        end();
-        crashes.answered(endpoint, beganMs, false);
+        markEnded();
+        quarantine.answered(endpoint, startedAtMs, false);
         if (status >= FIRST_SERVER_ERROR) {
-            endpoint.failed("status " + status);
+            endpoint.recordFailure("status " + status);
         }
-        if (owner.answer().begun()) {
+        if (owner.response().started()) {
             owner.lost(this, "the endpoint that was to go on with the stream answered with status " + status);
-        } else if (owner.failedAnswerIsFinal(status)) {
+        } else if (owner.forwardsFailure(status)) {
             deliver();
         } else {
             owner.failedAtEndpoint(this, status);
         }
     }
 
-    private void turnedAway() {
-        end();
+    private void rejected() {
+        markEnded();
         String detail = "the endpoint answered with status " + head.status();
         if (head.otherIncarnation()) {
-            parts.endpoints().markLeaving(endpoint, "another endpoint stands at its address");
-            owner.misdirected(this, detail);
+            context.endpoints().markLeaving(endpoint, "another endpoint stands at its address");
+            owner.wrongIncarnation(this, detail);
         } else {
             owner.notRun(this, detail);
         }
@@ -213,34 +214,34 @@
 
     @Override
     public void failed(TransportException failure) {
-        if (!end()) {
+        if (!markEnded()) {
             return;
         }
-        endpoint.broken(failure);
+        endpoint.recordTransportFailure(failure);
         if (failure.requestWritten()) {
-            crashes.lost(loss(failure));
+            quarantine.lost(loss(failure));
             owner.lost(this, failure.getMessage());
         } else {
-            owner.unsent(this, failure.getMessage());
+            owner.notSent(this, failure.getMessage());
         }
     }
 
     private EndpointLoss loss(TransportException failure) {
-        long nowMs = parts.clock().nowMs();
-        return new EndpointLoss(endpoint, nowMs - beganMs, head == null ? -1 : nowMs - headMs, failure);
+        long nowMs = context.clock().nowMs();
+        return new EndpointLoss(endpoint, nowMs - startedAtMs, head == null ? -1 : nowMs - headAtMs, failure);
     }
 
     /** Ends the attempt without an answer of its endpoint; its owner may send the request elsewhere. */
-    void breakOff(String detail) {
-        if (end()) {
-            endpoint.failed(detail);
+    void abandon(String detail) {
+        if (markEnded()) {
+            endpoint.recordFailure(detail);
             exchange.cancel();
             owner.lost(this, detail);
         }
     }
 
     /** Returns whether the attempt had not ended before. */
-    private boolean end() {
+    private boolean markEnded() {
         if (ended) {
             return false;
         }
--- a/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Set;
 import org.wingstall.relay.endpoint.RelayEndpoint;
-import org.wingstall.relay.endpoint.SendLimits.Chooser;
-import org.wingstall.relay.engine.EngineBroker;
-import org.wingstall.relay.engine.EngineInputs;
-import org.wingstall.relay.engine.EngineTicket;
+import org.wingstall.relay.endpoint.SendLimits.SelectionMode;
+import org.wingstall.relay.engine.EngineAssignment;
+import org.wingstall.relay.engine.EngineSelector;
+import org.wingstall.relay.engine.InputLocation;
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
@@ -16,27 +16,27 @@
  * <p>{@code search.begin(shunned, inputsPlace, untilTargetMs, listener);}
  */
 final class EndpointSearch {
-    private final RelayParts parts;
-    private final RunService service;
+    private final RelayContext context;
+    private final TargetService service;
     private final RelayRequest request;
 
     /** Takes the end of a search, now or soon. */
     interface Listener {
         /** An engine was chosen. */
-        void found(EngineTicket engine);
+        void found(EngineAssignment engine);
 
         /** Another endpoint was chosen. */
         void found(RelayEndpoint endpoint);
 
         /** All endpoints that may be asked have reduced capacity, which is used up; one may be asked after so many ms. */
-        void notNow(long againMs);
+        void atCapacity(long againMs);
 
         /** No endpoint may be asked. */
-        void none();
+        void noEndpoint();
     }
 
-    EndpointSearch(RelayParts parts, RunService service, RelayRequest request) {
-        this.parts = parts;
+    EndpointSearch(RelayContext context, TargetService service, RelayRequest request) {
+        this.context = context;
         this.service = service;
         this.request = request;
     }
@@ -49,43 +49,43 @@
      * @param untilTargetMs time left until its first answer is wanted, in ms
      * @param listener takes the end
      */
-    void begin(Set<String> shunned, EngineInputs inputs, long untilTargetMs, Listener listener) {
+    void start(Set<String> shunned, InputLocation inputs, long untilTargetMs, Listener listener) {
         List<RelayEndpoint> candidates = service.candidates(shunned);
         if (candidates.isEmpty()) {
-            listener.none();
-        } else if (service.readsPrompt()) {
-            EngineBroker.Question question =
-                    new EngineBroker.Question(service.name(), candidates, service.prompt(), inputs, untilTargetMs);
-            parts.engines().choose(question, receiver(listener));
+            listener.noEndpoint();
+        } else if (service.enginesPrefillPrompt()) {
+            EngineSelector.SelectionRequest question = new EngineSelector.SelectionRequest(
+                    service.name(), candidates, service.prompt(), inputs, untilTargetMs);
+            context.engineSelector().choose(question, receiver(listener));
         } else {
-            choosePlain(candidates, listener);
+            chooseLocally(candidates, listener);
         }
     }
 
-    private static EngineBroker.Receiver receiver(Listener listener) {
-        return new EngineBroker.Receiver() {
+    private static EngineSelector.SelectionListener receiver(Listener listener) {
+        return new EngineSelector.SelectionListener() {
             @Override
-            public void chosen(EngineTicket ticket) {
+            public void chosen(EngineAssignment ticket) {
                 listener.found(ticket);
             }
 
             @Override
-            public void noneNow(long againMs) {
-                listener.notNow(againMs);
+            public void noneAvailable(long againMs) {
+                listener.atCapacity(againMs);
             }
         };
     }
 
-    private void choosePlain(List<RelayEndpoint> candidates, Listener listener) {
+    private void chooseLocally(List<RelayEndpoint> candidates, Listener listener) {
         // Most requests to engines have a prompt, and one box chooses for those.
-        Chooser chooser = service.hasEngines() ? Chooser.ALONE : Chooser.EACH_BOX;
-        List<RelayEndpoint> open = parts.limits().open(candidates, chooser);
+        SelectionMode chooser = service.hasEngines() ? SelectionMode.FALLBACK : SelectionMode.INDEPENDENT;
+        List<RelayEndpoint> open = context.sendLimits().withinLimits(candidates, chooser);
         if (open.isEmpty()) {
-            listener.notNow(parts.limits().againMs(candidates, chooser));
+            listener.atCapacity(context.sendLimits().retryAfterMs(candidates, chooser));
             return;
         }
-        RelayEndpoint chosen = parts.services().choose(open, request);
-        parts.limits().sent(chosen);
+        RelayEndpoint chosen = context.endpointChooser().choose(open, request);
+        context.sendLimits().recordSend(chosen);
         listener.found(chosen);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/EventTail.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EventStreamBuffer.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** Cuts a stream at the ends of its events and remembers the identifier of the last whole one. */
-final class EventTail {
+final class EventStreamBuffer {
     private static final String ID = "id:";
 
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private String pendingId;
-    private String lastId;
+    private String pendingEventId;
+    private String lastEventId;
 
     /** Takes bytes in and returns those that end whole events. */
     byte[] add(ByteBuf content) {
@@ -21,39 +21,39 @@
             pending.write(next);
             if (next != '\n') {
                 line.write(next);
-            } else if (endsEvent()) {
+            } else if (finishLine()) {
                 whole.writeBytes(pending.toByteArray());
                 pending.reset();
-                lastId = pendingId == null ? lastId : pendingId;
-                pendingId = null;
+                lastEventId = pendingEventId == null ? lastEventId : pendingEventId;
+                pendingEventId = null;
             }
         }
         return whole.toByteArray();
     }
 
     /** Ends a line; returns whether it was the empty one that ends an event. */
-    private boolean endsEvent() {
+    private boolean finishLine() {
         String text = line.toString(StandardCharsets.UTF_8).strip();
         line.reset();
         if (text.startsWith(ID)) {
-            pendingId = text.substring(ID.length()).strip();
+            pendingEventId = text.substring(ID.length()).strip();
         }
         return text.isEmpty();
     }
 
     /** Drops an event that was broken off. */
-    void dropRest() {
+    void discardPartialEvent() {
         pending.reset();
         line.reset();
-        pendingId = null;
+        pendingEventId = null;
     }
 
-    boolean midEvent() {
+    boolean hasPartialEvent() {
         return pending.size() > 0;
     }
 
     /** Returns the identifier of the last whole event, or null. */
-    String lastId() {
-        return lastId;
+    String lastEventId() {
+        return lastEventId;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/RelayParts.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayContext.java
@@ -10,17 +10,17 @@
 import org.wingstall.net.http.HttpClient;
 import org.wingstall.relay.config.Regions;
 import org.wingstall.relay.config.RelayConfig;
+import org.wingstall.relay.endpoint.AdvertisedLimitReader;
 import org.wingstall.relay.endpoint.EndpointChooser;
-import org.wingstall.relay.endpoint.LimitReader;
 import org.wingstall.relay.endpoint.RelayEndpoint;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.endpoint.SendLimits;
-import org.wingstall.relay.engine.EngineBroker;
+import org.wingstall.relay.engine.EngineSelector;
 import org.wingstall.relay.log.RelayMetrics;
 import org.wingstall.relay.log.RequestLog;
 import org.wingstall.relay.pool.StagePools;
-import org.wingstall.relay.wire.CallerWire;
-import org.wingstall.relay.wire.EndpointWire;
+import org.wingstall.relay.wire.CallerProtocol;
+import org.wingstall.relay.wire.EndpointProtocol;
 
 /**
  * What all requests of a box share.
@@ -49,23 +49,23 @@
  * @param log lines about requests
  * @since 0.2
  */
-public record RelayParts(
+public record RelayContext(
         EventLoop loop,
         MonotonicClock clock,
         RandomGenerator random,
         HttpClient client,
-        CallerWire callers,
-        EndpointWire wire,
+        CallerProtocol callerProtocol,
+        EndpointProtocol endpointProtocol,
         Supplier<RelayConfig> config,
         RelayEndpoints endpoints,
-        StagePools pools,
-        EngineBroker engines,
+        StagePools stagePools,
+        EngineSelector engineSelector,
         Regions regions,
-        SendLimits limits,
-        LimitReader answers,
-        BiConsumer<RelayEndpoint, Runnable> doubts,
-        EndpointChooser services,
-        ServiceBudgets budgets,
+        SendLimits sendLimits,
+        AdvertisedLimitReader limitReader,
+        BiConsumer<RelayEndpoint, Runnable> engineStateQuery,
+        EndpointChooser endpointChooser,
+        ServiceRetryBudgets retryBudgets,
         Quarantine quarantine,
         RetryAfter retryAfter,
         RelayMetrics metrics,
--- a/relay/src/main/java/org/wingstall/relay/run/RelayHandler.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayHandler.java
@@ -21,9 +21,9 @@
  */
 public final class RelayHandler implements HttpHandler {
     /** When to come back to a box that knows no configuration yet, in ms; a start takes about this long. */
-    private static final long START_MS = 500;
+    private static final long STARTUP_RETRY_AFTER_MS = 500;
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final BooleanSupplier ready;
     private final AtomicInteger inFlight = new AtomicInteger();
 
@@ -33,8 +33,8 @@
      * @param parts what requests share
      * @param ready whether configuration and endpoints are known
      */
-    public RelayHandler(RelayParts parts, BooleanSupplier ready) {
-        this.parts = parts;
+    public RelayHandler(RelayContext context, BooleanSupplier ready) {
+        this.context = context;
         this.ready = ready;
     }
 
@@ -45,36 +45,38 @@
 
     @Override
     public void handle(HttpCall call) {
-        RelayConfig config = parts.config().get();
+        RelayConfig config = context.config().get();
         try {
             begin(call, config);
         } catch (RefusedException refusal) {
-            parts.metrics().refused(refusal.reason());
-            parts.log().turnedAway(parts.callers().requestId(call), call.target(), refusal, config.version());
-            parts.callers().refuse(call, refusal);
+            context.metrics().recordRefusal(refusal.reason());
+            context.log()
+                    .logRejected(context.callerProtocol().requestId(call), call.target(), refusal, config.version());
+            context.callerProtocol().refuse(call, refusal);
         }
     }
 
     private void begin(HttpCall call, RelayConfig config) throws RefusedException {
         if (!ready.getAsBoolean()) {
-            long againMs = parts.retryAfter().spreadMs(START_MS);
+            long againMs = context.retryAfter().jitteredMs(STARTUP_RETRY_AFTER_MS);
             throw new RefusedException(Reason.NOT_READY, "no configuration or no endpoints are known yet", againMs);
         }
-        RelayRequest request = parts.callers().decode(call);
-        Optional<Route> route = config.routeOf(request.host(), request.path());
+        RelayRequest request = context.callerProtocol().decode(call);
+        Optional<Route> route = config.findRoute(request.host(), request.path());
         if (route.isEmpty()) {
             throw new RefusedException(
                     Reason.UNKNOWN_ROUTE, "no route for '" + request.host() + request.path() + "'", 0);
         }
         Workspace workspace = workspaceOf(request, route.get(), config);
         inFlight.incrementAndGet();
-        new RelayRun(parts, call, request, route.get(), workspace, config.version(), inFlight::decrementAndGet).begin();
+        new RelayRun(context, call, request, route.get(), workspace, config.version(), inFlight::decrementAndGet)
+                .start();
     }
 
     private static Workspace workspaceOf(RelayRequest request, Route route, RelayConfig config)
             throws RefusedException {
-        Optional<Workspace> holder = config.workspaceOf(request.key());
-        boolean needed = config.keyed() && !route.open();
+        Optional<Workspace> holder = config.workspaceForKey(request.key());
+        boolean needed = config.keysRequired() && !route.keyOptional();
         if (needed && holder.isEmpty()) {
             throw new RefusedException(Reason.UNKNOWN_KEY, "no workspace holds the key", 0);
         }
--- a/relay/src/main/java/org/wingstall/relay/run/RunRecord.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RequestLogEntry.java
@@ -5,9 +5,9 @@
 import org.wingstall.core.quarantine.Fingerprint;
 import org.wingstall.relay.config.Route;
 import org.wingstall.relay.endpoint.RelayEndpoint;
-import org.wingstall.relay.engine.EngineExpectation;
-import org.wingstall.relay.engine.EngineInputs;
-import org.wingstall.relay.engine.EngineTicket;
+import org.wingstall.relay.engine.EngineAssignment;
+import org.wingstall.relay.engine.EngineEstimate;
+import org.wingstall.relay.engine.InputLocation;
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
@@ -17,7 +17,7 @@
  *
  * @since 0.2
  */
-public final class RunRecord {
+public final class RequestLogEntry {
     private final RelayRequest request;
     private final Route route;
     private final String workspace;
@@ -29,7 +29,7 @@
     private long stagesMs = -1;
     private long firstByteMs = -1;
 
-    RunRecord(RelayRequest request, Route route, String workspace, long configVersion, long arrivedMs) {
+    RequestLogEntry(RelayRequest request, Route route, String workspace, long configVersion, long arrivedMs) {
         this.request = request;
         this.route = route;
         this.workspace = workspace;
@@ -54,16 +54,16 @@
                 + " ms old");
     }
 
-    void engine(EngineTicket chosen, EngineInputs inputs) {
-        String by = chosen.chooser() == null ? "this box" : chosen.chooser();
-        EngineExpectation expected = chosen.expectation();
+    void engineChosen(EngineAssignment chosen, InputLocation inputs) {
+        String by = chosen.coordinator() == null ? "this box" : chosen.coordinator();
+        EngineEstimate expected = chosen.estimate();
         String fetched = chosen.fetchFrom() == null ? "" : ", fetching from " + chosen.fetchFrom();
         attempts.add("chosen by " + by + ", first answer expected in " + expected.firstAnswerMs() + " ms with "
-                + expected.waitMs() + " ms of waiting and " + expected.readTokens() + " tokens to read" + fetched
-                + place(chosen, inputs));
+                + expected.waitMs() + " ms of waiting and " + expected.prefillTokens() + " tokens to read" + fetched
+                + describePlace(chosen, inputs));
     }
 
-    private static String place(EngineTicket chosen, EngineInputs inputs) {
+    private static String describePlace(EngineAssignment chosen, InputLocation inputs) {
         String engineDomain = chosen.endpoint().identity().failureDomain();
         return ", in " + engineDomain
                 + (inputs.bytes() == 0 ? "" : ", " + inputs.bytes() + " bytes to fetch from " + inputs.failureDomain());
--- a/relay/src/main/java/org/wingstall/relay/run/RunStages.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RequestStages.java
@@ -4,7 +4,7 @@
 import org.wingstall.core.answer.Reason;
 import org.wingstall.relay.config.Route;
 import org.wingstall.relay.config.StageSpec;
-import org.wingstall.relay.engine.EngineInputs;
+import org.wingstall.relay.engine.InputLocation;
 import org.wingstall.relay.pool.StageGraph;
 import org.wingstall.relay.pool.Urgency;
 import org.wingstall.relay.wire.PieceResult;
@@ -15,17 +15,17 @@
  *
  * <p>{@code stages.begin(urgency, "kgn-a"); ... stages.close();}
  */
-final class RunStages implements StageGraph.StagesListener {
+final class RequestStages implements StageGraph.StagesListener {
     /** Times that the stages of a request are done: again once, when results were lost with their maker. */
-    private static final int MOST_RUNS = 2;
+    private static final int MAX_RUNS = 2;
 
     /** When a caller is told to come back after a refusal whose cause passes quickly, in ms. */
-    private static final long SOON_MS = 300;
+    private static final long RETRY_AFTER_MS = 300;
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final RelayRequest request;
     private final Route route;
-    private final long dueAtMs;
+    private final long deadlineAtMs;
     private final Owner owner;
     private StageGraph graph;
     private Urgency urgency;
@@ -39,22 +39,22 @@
         void stagesDone(List<String> outputs);
 
         /** Results were lost, and the stages begin anew. */
-        void stagesAgain(String detail);
+        void stagesRestarted(String detail);
 
         /** A stage has no result, so the request can't be sent. */
         void stagesFailed(Reason reason, String detail, long againMs);
     }
 
-    RunStages(RelayParts parts, RelayRequest request, Route route, long dueAtMs, Owner owner) {
-        this.parts = parts;
+    RequestStages(RelayContext context, RelayRequest request, Route route, long deadlineAtMs, Owner owner) {
+        this.context = context;
         this.request = request;
         this.route = route;
-        this.dueAtMs = dueAtMs;
+        this.deadlineAtMs = deadlineAtMs;
         this.owner = owner;
     }
 
     /** Begins the stages. */
-    void begin(Urgency wanted, String readsIn) {
+    void start(Urgency wanted, String readsIn) {
         urgency = wanted;
         readerDomain = readsIn;
         run();
@@ -62,13 +62,13 @@
 
     private void run() {
         runs++;
-        graph = parts.pools().graph(request, route, urgency, readerDomain, this);
+        graph = context.stagePools().graph(request, route, urgency, readerDomain, this);
         graph.begin();
     }
 
     /** Returns where the results lie that the request reads. */
-    EngineInputs outputPlace() {
-        return graph == null ? EngineInputs.NONE : graph.outputPlace();
+    InputLocation outputPlace() {
+        return graph == null ? InputLocation.NONE : graph.outputLocation();
     }
 
     /** Returns how far each stage came; nothing without stages. */
@@ -98,27 +98,27 @@
         switch (failure) {
             case QUARANTINED -> owner.stagesFailed(Reason.QUARANTINED, detail, againMs);
             case NOT_IN_TIME -> owner.stagesFailed(Reason.DEADLINE_UNREACHABLE, detail, againMs);
-            case INPUT_GONE -> inputGone(stage, detail);
-            default -> owner.stagesFailed(Reason.STAGE_WITHOUT_RESULT, detail, SOON_MS);
+            case INPUT_GONE -> onInputLost(stage, detail);
+            default -> owner.stagesFailed(Reason.STAGE_WITHOUT_RESULT, detail, RETRY_AFTER_MS);
         }
     }
 
-    private void inputGone(StageSpec stage, String detail) {
-        if (mayRunAgain(stage.service())) {
-            owner.stagesAgain(detail);
+    private void onInputLost(StageSpec stage, String detail) {
+        if (tryRerun(stage.service())) {
+            owner.stagesRestarted(detail);
             run();
         } else {
-            owner.stagesFailed(Reason.STAGE_WITHOUT_RESULT, detail, SOON_MS);
+            owner.stagesFailed(Reason.STAGE_WITHOUT_RESULT, detail, RETRY_AFTER_MS);
         }
     }
 
     /** Results die with their maker, so the stages that led to them are done again, once. */
-    private boolean mayRunAgain(String stageService) {
-        boolean again = runs < MOST_RUNS
-                && parts.clock().nowMs() < dueAtMs
-                && parts.budgets().of(stageService).tryRetry();
+    private boolean tryRerun(String stageService) {
+        boolean again = runs < MAX_RUNS
+                && context.clock().nowMs() < deadlineAtMs
+                && context.retryBudgets().of(stageService).tryRetry();
         if (again) {
-            parts.metrics().retried("inputs-lost");
+            context.metrics().recordRetry("inputs-lost");
         }
         return again;
     }
--- a/relay/src/main/java/org/wingstall/relay/run/AnswerRelay.java
+++ b/relay/src/main/java/org/wingstall/relay/run/ResponseForwarder.java
@@ -9,58 +9,58 @@
  * Passes the parts of an endpoint's answer to the caller. The events of a stream that may be taken up again are passed on
  * whole, so that another endpoint can go on after the last one. Confined to the request loop.
  */
-final class AnswerRelay {
+final class ResponseForwarder {
     private final HttpCall call;
-    private final boolean byEvent;
-    private final EventTail events = new EventTail();
-    private boolean begun;
+    private final boolean wholeEvents;
+    private final EventStreamBuffer eventBuffer = new EventStreamBuffer();
+    private boolean started;
 
-    AnswerRelay(HttpCall call, boolean byEvent) {
+    ResponseForwarder(HttpCall call, boolean wholeEvents) {
         this.call = call;
-        this.byEvent = byEvent;
+        this.wholeEvents = wholeEvents;
     }
 
     /** Returns whether the caller has the head of an answer. */
-    boolean begun() {
-        return begun;
+    boolean started() {
+        return started;
     }
 
     /** Returns whether another endpoint can go on where the answer stands. */
     boolean resumable() {
-        return !begun || byEvent && events.lastId() != null;
+        return !started || wholeEvents && eventBuffer.lastEventId() != null;
     }
 
     /** Returns the last event that the caller has, or null. */
     String lastEventId() {
-        return events.lastId();
+        return eventBuffer.lastEventId();
     }
 
     /** Begins an answer whose parts follow; one that another endpoint goes on with keeps its head. */
-    void begin(int status, HttpHeaders headers) {
-        events.dropRest();
-        if (!begun) {
-            begun = true;
+    void start(int status, HttpHeaders headers) {
+        eventBuffer.discardPartialEvent();
+        if (!started) {
+            started = true;
             call.begin(status, headers);
         }
     }
 
     /** Passes a part on; returns whether the caller keeps up. */
-    boolean part(ByteBuf content) {
-        if (!byEvent) {
+    boolean forwardPart(ByteBuf content) {
+        if (!wholeEvents) {
             return call.part(content.retainedSlice());
         }
-        byte[] whole = events.add(content);
+        byte[] whole = eventBuffer.add(content);
         return whole.length == 0 || call.part(Unpooled.wrappedBuffer(whole));
     }
 
     /** Sets what to do when the caller keeps up again. */
-    void onKeepsUp(Runnable action) {
+    void onWritable(Runnable action) {
         call.onWritable(action);
     }
 
     /** Ends an answer whose parts were passed on; returns whether its last event is whole. */
     boolean end() {
-        if (byEvent && events.midEvent()) {
+        if (wholeEvents && eventBuffer.hasPartialEvent()) {
             return false;
         }
         call.end();
@@ -68,8 +68,8 @@
     }
 
     /** Passes a whole answer on. */
-    void whole(int status, HttpHeaders headers, byte[] body) {
-        begun = true;
+    void forwardWhole(int status, HttpHeaders headers, byte[] body) {
+        started = true;
         call.respond(status, headers, body);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/CrashGuard.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RunQuarantine.java
@@ -2,31 +2,31 @@
 
 import java.util.Optional;
 import java.util.Set;
-import org.wingstall.core.quarantine.GuardedRequest;
-import org.wingstall.core.quarantine.Hold;
+import org.wingstall.core.quarantine.QuarantineRefusal;
+import org.wingstall.core.quarantine.RequestQuarantine;
 import org.wingstall.net.http.TransportException;
 import org.wingstall.relay.endpoint.RelayEndpoint;
 import org.wingstall.relay.log.EndpointLoss;
 import org.wingstall.relay.log.RequestLog;
 
 /** Tells the quarantine and the log of one request's sendings. Confined to the request loop. */
-final class CrashGuard {
-    private final GuardedRequest request;
+final class RunQuarantine {
+    private final RequestQuarantine request;
     private final RequestLog log;
-    private final RunRecord record;
+    private final RequestLogEntry record;
 
-    CrashGuard(RelayParts parts, RunRecord record) {
-        this.request = new GuardedRequest(parts.quarantine(), record::fingerprint);
+    RunQuarantine(RelayContext parts, RequestLogEntry record) {
+        this.request = new RequestQuarantine(parts.quarantine(), record::fingerprint);
         this.log = parts.log();
         this.record = record;
     }
 
-    Optional<Hold> hold() {
-        return request.hold();
+    Optional<QuarantineRefusal> refusal() {
+        return request.refusal();
     }
 
-    Set<String> shunned() {
-        return request.shunned();
+    Set<String> endpointsToAvoid() {
+        return request.endpointsToAvoid();
     }
 
     void sent(RelayEndpoint endpoint) {
@@ -35,9 +35,9 @@
 
     /** An endpoint that ends closes its connections; one that is silent may be cut off, and is no evidence. */
     void lost(EndpointLoss loss) {
-        log.endpointLost(record, loss);
+        log.logEndpointLoss(record, loss);
         if (loss.failure().kind() == TransportException.Kind.RESET) {
-            request.lost(loss.endpoint().key());
+            request.endpointLost(loss.endpoint().key());
         }
     }
 
@@ -45,7 +45,7 @@
         request.answered(endpoint.key(), sentAtMs, success);
     }
 
-    void over() {
-        request.over();
+    void endTrial() {
+        request.endTrial();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/ServiceBudgets.java
+++ b/relay/src/main/java/org/wingstall/relay/run/ServiceRetryBudgets.java
@@ -11,14 +11,14 @@
  *
  * @since 0.2
  */
-public final class ServiceBudgets {
-    /** Part of the fleet's budget that boxes use, since their shares of the traffic are uneven and windows slide. */
-    private static final double USED_PART = 0.7;
+public final class ServiceRetryBudgets {
+    /** FleetBudget of the fleet's budget that boxes use, since their shares of the traffic are uneven and windows slide. */
+    private static final double USED_FRACTION = 0.7;
 
     private static final double PERCENT = 100;
 
     private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
-    private volatile Part part;
+    private volatile FleetBudget fleetBudget;
 
     /**
      * What a fleet may use, and the boxes that share it.
@@ -27,13 +27,13 @@
      * @param extra retries beyond that in a window
      * @param boxes boxes of the fleet
      */
-    public record Part(double ratio, double extra, int boxes) {
+    public record FleetBudget(double ratio, double extra, int boxes) {
         private double percent() {
-            return PERCENT * ratio * USED_PART;
+            return PERCENT * ratio * USED_FRACTION;
         }
 
-        private double saved() {
-            return extra * USED_PART / boxes;
+        private double boxExtra() {
+            return extra * USED_FRACTION / boxes;
         }
     }
 
@@ -42,20 +42,20 @@
      *
      * @param part this box's part of the fleet's budget
      */
-    public ServiceBudgets(Part part) {
-        this.part = part;
+    public ServiceRetryBudgets(FleetBudget fleetBudget) {
+        this.fleetBudget = fleetBudget;
     }
 
     /** Begins new budgets with another part, unless it is the same. */
-    public void change(Part next) {
-        if (!next.equals(part)) {
-            part = next;
+    public void update(FleetBudget next) {
+        if (!next.equals(fleetBudget)) {
+            fleetBudget = next;
             budgets.clear();
         }
     }
 
     /** Returns a service's budget. */
     public RetryBudget of(String service) {
-        return budgets.computeIfAbsent(service, name -> new RetryBudget(part.percent(), part.saved()));
+        return budgets.computeIfAbsent(service, name -> new RetryBudget(fleetBudget.percent(), fleetBudget.boxExtra()));
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/RunService.java
+++ b/relay/src/main/java/org/wingstall/relay/run/TargetService.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wingstall.relay.config.EngineSpec;
-import org.wingstall.relay.config.Homes;
+import org.wingstall.relay.config.RegionRestriction;
 import org.wingstall.relay.config.Route;
 import org.wingstall.relay.config.ServiceSpec;
 import org.wingstall.relay.config.Workspace;
@@ -18,29 +18,29 @@
  * The service that will answer one request: which of its endpoints may still be asked, and until when the stages before have
  * to be done for that. Confined to the request loop.
  */
-final class RunService {
+final class TargetService {
     /** Time that the first part of an answer takes to its caller, in ms; callers are a few ms away. */
-    private static final long TO_CALLER_MS = 10;
+    private static final long CALLER_LATENCY_MS = 10;
 
     /**
      * Targets that a request waits for its stages: beyond, it is refused rather than held until its deadline, and the room
      * goes to requests that can be in time.
      */
-    private static final double STAGES_PATIENCE = 1.5;
+    private static final double MAX_STAGE_WAIT_FACTOR = 1.5;
 
     /** Routes' ranks are below this; a workspace's rank comes before them. */
-    private static final int RANKS_OF_ROUTES = 100;
+    private static final int ROUTE_RANKS = 100;
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final String name;
     private final Route route;
-    private final Homes homes;
+    private final RegionRestriction regions;
     private final Prompt prompt;
     private final Set<String> tried = new HashSet<>();
 
-    RunService(RelayParts parts, String name, Route route, Homes homes, Prompt prompt) {
-        this.homes = homes;
-        this.parts = parts;
+    TargetService(RelayContext context, String name, Route route, RegionRestriction regions, Prompt prompt) {
+        this.regions = regions;
+        this.context = context;
         this.name = name;
         this.route = route;
         this.prompt = prompt;
@@ -55,7 +55,7 @@
     }
 
     /** Records that an endpoint is asked now. */
-    void asked(RelayEndpoint endpoint) {
+    void markTried(RelayEndpoint endpoint) {
         tried.add(endpoint.id());
     }
 
@@ -80,8 +80,9 @@
     private List<RelayEndpoint> untried() {
         List<RelayEndpoint> usable = new ArrayList<>();
         List<RelayEndpoint> avoided = new ArrayList<>();
-        for (RelayEndpoint endpoint : parts.endpoints().ofService(name)) {
-            boolean away = !homes.allows(parts.regions().of(endpoint.identity().failureDomain()));
+        for (RelayEndpoint endpoint : context.endpoints().ofService(name)) {
+            boolean away =
+                    !regions.allows(context.regions().of(endpoint.identity().failureDomain()));
             if (away || endpoint.state().leaving() || tried.contains(endpoint.id())) {
                 continue;
             }
@@ -91,13 +92,13 @@
     }
 
     /** Returns why no endpoint may be asked, for the caller and the log. */
-    String whyNone() {
-        Set<String> evacuated = parts.endpoints().evacuated();
+    String noEndpointDetail() {
+        Set<String> evacuated = context.endpoints().evacuated();
         return "no endpoint of '" + name + "' is left" + (evacuated.isEmpty() ? "" : ", evacuated: " + evacuated);
     }
 
     /** Returns whether its endpoints are engines that read the request's prompt. */
-    boolean readsPrompt() {
+    boolean enginesPrefillPrompt() {
         return hasEngines() && !prompt.tokens().isEmpty();
     }
 
@@ -107,7 +108,7 @@
     }
 
     private Optional<EngineSpec> engine() {
-        return parts.config().get().service(name).flatMap(ServiceSpec::engine);
+        return context.config().get().service(name).flatMap(ServiceSpec::engine);
     }
 
     /**
@@ -115,22 +116,24 @@
      * what others keep are chosen near the results instead.
      */
     String readerDomain() {
-        boolean anywhere = engine().map(EngineSpec::fetches).orElse(false);
-        return readsPrompt() && !anywhere ? parts.engines().homeDomain(candidates(), prompt) : "";
+        boolean anywhere = engine().map(EngineSpec::canFetch).orElse(false);
+        return enginesPrefillPrompt() && !anywhere
+                ? context.engineSelector().preferredDomain(candidates(), prompt)
+                : "";
     }
 
     /** Returns until when its stages have to be done: they leave time for the answer, and end when it would be far too late. */
     Urgency urgency(Workspace workspace, long arrivedMs, long dueAtMs) {
-        long stagesDueAtMs = Math.min(dueAtMs, arrivedMs + Math.round(STAGES_PATIENCE * route.targetMs()));
+        long stagesDueAtMs = Math.min(dueAtMs, arrivedMs + Math.round(MAX_STAGE_WAIT_FACTOR * route.targetMs()));
         return new Urgency(
-                workspace.rank() * RANKS_OF_ROUTES + route.rank(),
+                workspace.rank() * ROUTE_RANKS + route.rank(),
                 arrivedMs + route.targetMs() - afterStagesMs(),
                 stagesDueAtMs);
     }
 
     /** Returns the time that its endpoints usually take until they begin to answer, in ms. */
-    long answerMs() {
-        return readsPrompt() ? parts.engines().firstAnswerMs(name, prompt) : 0;
+    long expectedResponseMs() {
+        return enginesPrefillPrompt() ? context.engineSelector().firstAnswerMs(name, prompt) : 0;
     }
 
     /**
@@ -138,6 +141,6 @@
      * one time for all, stages that end as late as they may leave long prompts late.
      */
     private long afterStagesMs() {
-        return TO_CALLER_MS + answerMs();
+        return CALLER_LATENCY_MS + expectedResponseMs();
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/AdvertisedLimit.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/AdvertisedLimit.java
@@ -3,7 +3,7 @@
 /**
  * The requests a second that an endpoint takes from all boxes together, as an answer of it states them.
  *
- * <p>{@code if (limit.kind() == AdvertisedLimit.Kind.RATE) { hold(limit.requestsPerSecond()); }}
+ * <p>{@code if (limit.kind() == AdvertisedLimit.RequestKind.RATE) { hold(limit.requestsPerSecond()); }}
  *
  * @param kind what the answer states
  * @param requestsPerSecond the rate, finite and not negative; 0 unless the kind is {@code RATE}
--- a/relay/src/main/java/org/wingstall/relay/wire/CallerWire.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/CallerProtocol.java
@@ -10,7 +10,7 @@
  *
  * @since 0.2
  */
-public interface CallerWire {
+public interface CallerProtocol {
     /**
      * Decodes a request.
      *
--- a/relay/src/main/java/org/wingstall/relay/wire/ConfigSource.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/ConfigSource.java
@@ -17,5 +17,5 @@
      * @return what they want; without a configuration when none came while waiting; fails with a
      *     {@link org.wingstall.relay.wire.SourceException}
      */
-    CompletableFuture<OperatorNews> next(boolean whole);
+    CompletableFuture<OperatorState> next(boolean whole);
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/CrashReportStore.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/CrashReportStore.java
@@ -13,10 +13,10 @@
  */
 public interface CrashReportStore {
     /** Keeps a report in place of an earlier one of the same request; fails with a {@link SourceException}. */
-    CompletableFuture<Void> keep(CrashReport report);
+    CompletableFuture<Void> save(CrashReport report);
 
     /** Drops the report of a request; fails with a {@link SourceException}. */
-    CompletableFuture<Void> drop(String fingerprint);
+    CompletableFuture<Void> delete(String fingerprint);
 
     /**
      * Reads all reports, or waits for some that are kept after the last answer.
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointCall.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointCall.java
@@ -25,4 +25,4 @@
         List<String> inputs,
         String resumeAfter,
         InetSocketAddress fetchFrom,
-        long reuseIdleMs) {}
+        long maxIdleMs) {}
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointWire.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointProtocol.java
@@ -14,12 +14,12 @@
  *
  * @since 0.2
  */
-public interface EndpointWire {
+public interface EndpointProtocol {
     /** Encodes a caller's request for an endpoint. */
     OutgoingRequest call(RelayRequest request, EndpointCall call);
 
     /** Decodes the head of an endpoint's answer. */
-    AnswerHead answerHead(int status, HttpHeaders headers);
+    ResponseHead responseHead(int status, HttpHeaders headers);
 
     /** Encodes a call for pieces. */
     OutgoingRequest pieces(EndpointIdentity endpoint, List<Piece> pieces, List<Long> remainingMs);
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointReport.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointReport.java
@@ -10,4 +10,4 @@
  * @param mostFreeBytes most room for results of stages that it may have; empty when it does no such work
  * @since 0.5
  */
-public record EndpointReport(OptionalDouble mostFreeBytes) {}
+public record EndpointReport(OptionalDouble maxFreeBytes) {}
--- a/relay/src/main/java/org/wingstall/relay/wire/OperatorNews.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/OperatorState.java
@@ -13,4 +13,4 @@
  * @param evacuations the failure domains that are evacuated, all of them
  * @since 0.8
  */
-public record OperatorNews(Optional<RelayConfig> config, Evacuations evacuations) {}
+public record OperatorState(Optional<RelayConfig> config, Evacuations evacuations) {}
--- a/relay/src/main/java/org/wingstall/relay/wire/Piece.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/Piece.java
@@ -24,7 +24,7 @@
      * @param requestId the request
      * @param stage number of the stage
      */
-    public record OfStage(String requestId, int stage) {}
+    public record StageId(String requestId, int stage) {}
 
     /** Returns whether the piece can be told from others, whichever request it is made for. */
     public boolean identifiable() {
@@ -38,7 +38,7 @@
     }
 
     /** Returns the stage that the piece belongs to. */
-    public OfStage ofStage() {
-        return new OfStage(requestId, stage);
+    public StageId stageId() {
+        return new StageId(requestId, stage);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/PieceResult.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/PieceResult.java
@@ -30,7 +30,7 @@
         QUARANTINED;
 
         /** Returns a failure by its name; one that only later versions know is an error. */
-        public static Failure named(String name) {
+        public static Failure fromName(String name) {
             for (Failure failure : values()) {
                 if (failure.name().equals(name)) {
                     return failure;
@@ -51,7 +51,7 @@
     }
 
     /** Returns whether there is a result. */
-    public boolean made() {
+    public boolean success() {
         return handle != null;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/AnswerHead.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/ResponseHead.java
@@ -19,16 +19,16 @@
  * @param toCaller headers that go on to the caller
  * @since 0.2
  */
-public record AnswerHead(
+public record ResponseHead(
         int status,
         String requestId,
         boolean signed,
-        boolean notRun,
+        boolean notExecuted,
         boolean otherIncarnation,
         boolean streamed,
         OptionalInt load,
         AdvertisedLimit limit,
-        HttpHeaders toCaller) {
+        HttpHeaders callerHeaders) {
     /** Returns whether the endpoint ran the request with success. */
     public boolean success() {
         return status >= 200 && status < 300;
--- a/relay/src/main/java/org/wingstall/relay/wire/SourceException.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/SourceException.java
@@ -3,7 +3,7 @@
 /**
  * Tells why the configuration or the list of endpoints could not be read.
  *
- * <p>{@code if (failure.kind() == SourceException.Kind.HISTORY_GONE) { readWhole(); }}
+ * <p>{@code if (failure.kind() == SourceException.RequestKind.HISTORY_GONE) { readWhole(); }}
  *
  * @since 0.2
  */
--- a/relay/src/test/java/org/wingstall/relay/control/CrashReportFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/CrashReportFollowerTest.java
@@ -35,12 +35,12 @@
     }
 
     @Override
-    public CompletableFuture<Void> keep(CrashReport report) {
+    public CompletableFuture<Void> save(CrashReport report) {
         return CompletableFuture.completedFuture(null);
     }
 
     @Override
-    public CompletableFuture<Void> drop(String fingerprint) {
+    public CompletableFuture<Void> delete(String fingerprint) {
         return CompletableFuture.completedFuture(null);
     }
 
--- a/relay/src/test/java/org/wingstall/relay/control/EvacuationStateTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/EvacuationStateTest.java
@@ -19,7 +19,7 @@
     public void create() {
         told.clear();
         state = new EvacuationState(told::add);
-        state.offer(new Evacuations(10, Set.of("east")), "store");
+        state.updateIfNewer(new Evacuations(10, Set.of("east")), "store");
     }
 
     @DataProvider
@@ -34,13 +34,13 @@
 
     @Test(dataProvider = "offers")
     public void onlyALaterVersionCounts(String what, long version, Set<String> offered, Set<String> inForce) {
-        state.offer(new Evacuations(version, offered), "peer");
+        state.updateIfNewer(new Evacuations(version, offered), "peer");
         assertEquals(state.current().failureDomains(), inForce, what);
     }
 
     @Test
     public void nobodyIsToldOfALaterVersionThatSaysTheSame() {
-        state.offer(new Evacuations(12, Set.of("east")), "peer");
+        state.updateIfNewer(new Evacuations(12, Set.of("east")), "peer");
         assertEquals(told, List.of(Set.of("east")));
         assertEquals(state.current().asOfVersion(), 12);
     }
--- a/relay/src/test/java/org/wingstall/relay/control/FirstAnswerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/HedgedReadTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** A box that starts is slower than its source, and doesn't take its own slowness for the source's silence. */
-public class FirstAnswerTest {
+public class HedgedReadTest {
     private final List<CompletableFuture<String>> calls = new ArrayList<>();
     private EmbeddedChannel channel;
     private CompletableFuture<String> answer;
@@ -23,7 +23,7 @@
         calls.clear();
         channel = new EmbeddedChannel();
         channel.freezeTime();
-        answer = FirstAnswer.of(channel.eventLoop(), () -> {
+        answer = HedgedRead.start(channel.eventLoop(), () -> {
             calls.add(new CompletableFuture<>());
             return calls.get(calls.size() - 1);
         });
@@ -38,7 +38,7 @@
     /** Before, the call was given up after 700 ms, and the one made then had to wait for as long again. */
     @Test
     public void anAnswerThatComesLateStillCounts() {
-        pass(FirstAnswer.AGAIN_AFTER_MS + 1);
+        pass(HedgedRead.HEDGE_DELAY_MS + 1);
         assertEquals(calls.size(), 2);
         calls.get(0).complete("late");
         pass(1);
@@ -47,7 +47,7 @@
 
     @Test
     public void anAnswerThatWasLostIsReplacedByTheSecond() {
-        pass(FirstAnswer.AGAIN_AFTER_MS + 1);
+        pass(HedgedRead.HEDGE_DELAY_MS + 1);
         calls.get(1).complete("second");
         pass(1);
         assertEquals(answer.join(), "second");
@@ -56,7 +56,7 @@
     @Test
     public void anAnswerInTimeIsAskedForOnce() {
         calls.get(0).complete("at once");
-        pass(2 * FirstAnswer.AGAIN_AFTER_MS);
+        pass(2 * HedgedRead.HEDGE_DELAY_MS);
         assertEquals(answer.join(), "at once");
         assertEquals(calls.size(), 1);
     }
@@ -64,14 +64,14 @@
     @Test
     public void aSourceThatTurnsTheBoxAwayIsNotAskedAgainHere() {
         calls.get(0).completeExceptionally(new IllegalStateException("429"));
-        pass(2 * FirstAnswer.AGAIN_AFTER_MS);
+        pass(2 * HedgedRead.HEDGE_DELAY_MS);
         assertTrue(answer.isCompletedExceptionally());
         assertEquals(calls.size(), 1);
     }
 
     @Test
     public void oneOfTwoCallsThatFailsLeavesTheOther() {
-        pass(FirstAnswer.AGAIN_AFTER_MS + 1);
+        pass(HedgedRead.HEDGE_DELAY_MS + 1);
         calls.get(0).completeExceptionally(new IllegalStateException("reset"));
         pass(1);
         assertFalse(answer.isDone());
--- a/relay/src/test/java/org/wingstall/relay/control/ListFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/ListFollowerTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.member.MemberChanges;
+import org.wingstall.core.member.MemberListDiff;
 import org.wingstall.core.member.MemberSnapshot;
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.relay.wire.EndpointSource;
@@ -67,7 +67,7 @@
     }
 
     private static MemberSnapshot list(Member... members) {
-        return MemberSnapshot.tagged(List.of(members));
+        return MemberSnapshot.withContentTag(List.of(members));
     }
 
     @Override
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void tell(MemberNews news) {
+    public void announce(MemberNews news) {
         told.add(news);
     }
 
@@ -96,7 +96,7 @@
     @Test
     public void aListThatAPeerHasAndThisBoxHasNotIsRead() throws Exception {
         stored = new EndpointSource.Listing(List.of(entry("a", true)), VERSION + 7);
-        follower.peerHas(list(entry("a", true)).shortTag(), VERSION + 5);
+        follower.onPeerList(list(entry("a", true)).shortTag(), VERSION + 5);
         settle();
         assertEquals(reads.get(), 2);
         assertTrue(leaves("a"));
@@ -114,7 +114,7 @@
 
     @Test(dataProvider = "listsOfPeers")
     public void aListThatIsNotNewerIsNotRead(String name, int tag, long version) throws Exception {
-        follower.peerHas(tag, version);
+        follower.onPeerList(tag, version);
         settle();
         assertEquals(reads.get(), 1);
     }
@@ -122,7 +122,7 @@
     @Test
     public void aChangeThatAPeerTellsIsTakenInWithoutARead() throws Exception {
         MemberSnapshot after = list(entry("a", true), entry("b", false));
-        follower.newsFromPeer(MemberChanges.between(list(entry("a", false)), after, VERSION + 3));
+        follower.onPeerChange(MemberListDiff.between(list(entry("a", false)), after, VERSION + 3));
         settle();
         assertEquals(reads.get(), 1);
         assertTrue(leaves("a"));
@@ -135,7 +135,7 @@
     public void aChangeOfAListThatThisBoxLacksIsReadInstead() throws Exception {
         stored = new EndpointSource.Listing(List.of(entry("c", false)), VERSION + 9);
         MemberSnapshot other = list(entry("b", false));
-        follower.newsFromPeer(MemberChanges.between(other, list(entry("c", false)), VERSION + 8));
+        follower.onPeerChange(MemberListDiff.between(other, list(entry("c", false)), VERSION + 8));
         settle();
         assertEquals(reads.get(), 2);
         assertEquals(table.ofService("plain").get(0).id(), "c");
@@ -144,7 +144,7 @@
     @Test
     public void aChangeThatWasReadMeanwhileIsPassedOver() throws Exception {
         MemberSnapshot other = list(entry("b", false));
-        follower.newsFromPeer(MemberChanges.between(other, list(entry("a", false)), VERSION - 1));
+        follower.onPeerChange(MemberListDiff.between(other, list(entry("a", false)), VERSION - 1));
         settle();
         assertEquals(reads.get(), 1);
         assertEquals(table.ofService("plain").get(0).id(), "a");
@@ -153,7 +153,7 @@
     @Test
     public void aChangeThatThisBoxReadsIsTold() throws Exception {
         stored = new EndpointSource.Listing(List.of(entry("a", false), entry("b", false)), VERSION + 7);
-        follower.peerHas(1, VERSION + 5);
+        follower.onPeerList(1, VERSION + 5);
         settle();
         assertEquals(told.size(), 1);
         assertEquals(told.get(0).getVersion(), VERSION + 7);
@@ -163,7 +163,7 @@
     @Test
     public void theVersionOfAListStaysWhileItDoes() throws Exception {
         stored = new EndpointSource.Listing(stored.members(), VERSION + 50);
-        follower.peerHas(1, VERSION + 1);
+        follower.onPeerList(1, VERSION + 1);
         settle();
         assertEquals(follower.listVersion(), VERSION);
         assertEquals(changes.get(), 1);
@@ -172,10 +172,10 @@
     @Test
     public void aBoxThatGetsNoAnswerVouchesForNoList() throws Exception {
         down = true;
-        follower.peerHas(1, VERSION + 1);
+        follower.onPeerList(1, VERSION + 1);
         settle();
-        assertEquals(follower.tagReadLately(), 0);
-        assertTrue(follower.unanswered());
+        assertEquals(follower.freshTag(), 0);
+        assertTrue(follower.sourceUnavailable());
     }
 
     /** A box that the store turned away for 9 s asked it with every heartbeat of every hub, 20 times a second. */
@@ -183,7 +183,7 @@
     public void aStoreThatGivesNoAnswerIsNotAskedWithEveryHeartbeat() throws Exception {
         down = true;
         for (int i = 0; i < 20; i++) {
-            follower.peerHas(1, VERSION + 1);
+            follower.onPeerList(1, VERSION + 1);
             settle();
         }
         assertEquals(reads.get(), 2);
@@ -192,9 +192,9 @@
     @Test
     public void changesToldWhileTheStoreGivesNoAnswerAreLeftToThisBoxsOwnReads() throws Exception {
         down = true;
-        follower.peerHas(1, VERSION + 1);
+        follower.onPeerList(1, VERSION + 1);
         settle();
-        follower.newsFromPeer(MemberChanges.between(list(entry("a", false)), list(), VERSION + 3));
+        follower.onPeerChange(MemberListDiff.between(list(entry("a", false)), list(), VERSION + 3));
         settle();
         assertEquals(table.ofService("plain").size(), 1);
     }
--- a/relay/src/test/java/org/wingstall/relay/control/OneReaderPerDomainTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/OneReaderPerDomainPolicyTest.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.relay.control.OneReaderPerDomain.Peer;
+import org.wingstall.relay.control.OneReaderPerDomainPolicy.Peer;
 
-public class OneReaderPerDomainTest {
+public class OneReaderPerDomainPolicyTest {
     private static final Set<String> HUBS = Set.of("hub-1", "hub-2", "far-hub");
 
     private static final Peer FAR_READER = new Peer("far-hub", false, true, false);
 
     private static boolean mine(String self, Peer... heard) {
-        return new OneReaderPerDomain(self, () -> List.of(heard), HUBS::contains).mine();
+        return new OneReaderPerDomainPolicy(self, () -> List.of(heard), HUBS::contains).shouldRead();
     }
 
     private static Peer hub(String boxId, boolean unanswered) {
--- a/relay/src/test/java/org/wingstall/relay/control/RelayConfigFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/RelayConfigFollowerTest.java
@@ -16,7 +16,7 @@
 import org.wingstall.relay.config.ClientLimits;
 import org.wingstall.relay.config.Evacuations;
 import org.wingstall.relay.config.RelayConfig;
-import org.wingstall.relay.wire.OperatorNews;
+import org.wingstall.relay.wire.OperatorState;
 import org.wingstall.relay.wire.SourceException;
 
 public class RelayConfigFollowerTest {
@@ -46,7 +46,7 @@
         loop.shutdownGracefully();
     }
 
-    private CompletableFuture<OperatorNews> read(boolean whole) {
+    private CompletableFuture<OperatorState> read(boolean whole) {
         if (!whole) {
             return new CompletableFuture<>();
         }
@@ -60,12 +60,12 @@
         return CompletableFuture.completedFuture(news(Optional.of(config(stored))));
     }
 
-    private static OperatorNews news(Optional<RelayConfig> config) {
-        return new OperatorNews(config, Evacuations.UNKNOWN);
+    private static OperatorState news(Optional<RelayConfig> config) {
+        return new OperatorState(config, Evacuations.UNKNOWN);
     }
 
     private static RelayConfig config(long version) {
-        return new RelayConfig(version, List.of(), List.of(), Map.of(), false, ClientLimits.UNTIL_KNOWN);
+        return new RelayConfig(version, List.of(), List.of(), Map.of(), false, ClientLimits.DEFAULTS);
     }
 
     /** Tasks of the loop run one after the other, so a few rounds end what they led to. */
@@ -78,7 +78,7 @@
     @Test
     public void aVersionThatAPeerHasIsReadWhileTheWaitForChangesIsSilent() throws Exception {
         stored = 2;
-        follower.newerHeard(2);
+        follower.onNewerVersion(2);
         settle();
         assertEquals(state.config().version(), 2);
     }
@@ -86,7 +86,7 @@
     @Test
     public void aVersionThatIsInForceIsNotReadAgain() throws Exception {
         int before = wholeReads.get();
-        follower.newerHeard(1);
+        follower.onNewerVersion(1);
         settle();
         assertEquals(wholeReads.get(), before);
     }
@@ -97,7 +97,7 @@
         int before = wholeReads.get();
         away = true;
         for (int i = 0; i < 20; i++) {
-            follower.newerHeard(2);
+            follower.onNewerVersion(2);
             settle();
         }
         assertEquals(wholeReads.get(), before + 1);
@@ -106,12 +106,12 @@
     @Test
     public void aVersionThatAPeerHasIsAskedForAgainAfterAWhile() throws Exception {
         away = true;
-        follower.newerHeard(2);
+        follower.onNewerVersion(2);
         settle();
         away = false;
         stored = 2;
         Awaitility.await().untilAsserted(() -> {
-            follower.newerHeard(2);
+            follower.onNewerVersion(2);
             assertEquals(state.config().version(), 2);
         });
     }
--- a/relay/src/test/java/org/wingstall/relay/control/RelayPeersTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/RelayPeerHostTest.java
@@ -15,7 +15,7 @@
 import org.wingstall.schema.peer.MemberNews;
 
 /** What one box knows of the operators' evacuations, those that it is linked to know as well, whether the store answers them or not. */
-public class RelayPeersTest {
+public class RelayPeerHostTest {
     private static final MonotonicClock CLOCK = System::nanoTime;
 
     private EventLoop loop;
@@ -23,7 +23,7 @@
     /** A box whose store never answers, and its end of a link. */
     private static final class Box {
         private final EvacuationState evacuations = new EvacuationState(domains -> {});
-        private final RelayPeers peers;
+        private final RelayPeerHost peers;
 
         Box(EventLoop loop) {
             ListFollower list = new ListFollower(
@@ -38,9 +38,9 @@
                         public void changed() {}
 
                         @Override
-                        public void tell(MemberNews news) {}
+                        public void announce(MemberNews news) {}
                     });
-            peers = new RelayPeers(new RelayState(), evacuations, () -> false, version -> {}, () -> list);
+            peers = new RelayPeerHost(new RelayState(), evacuations, () -> false, version -> {}, () -> list);
         }
 
         Set<String> evacuated() {
@@ -67,11 +67,11 @@
 
     @Test
     public void aBoxThatTheStoreDoesNotAnswerLearnsOfEvacuationsOverLinks() {
-        reader.evacuations.offer(new Evacuations(7, Set.of("east")), "store");
+        reader.evacuations.updateIfNewer(new Evacuations(7, Set.of("east")), "store");
         cutOff.peers.heard(reader.peers.heartbeat());
         behind.peers.heard(cutOff.peers.heartbeat());
         assertEquals(behind.evacuated(), Set.of("east"));
-        reader.evacuations.offer(new Evacuations(9, Set.of()), "store");
+        reader.evacuations.updateIfNewer(new Evacuations(9, Set.of()), "store");
         behind.peers.heard(reader.peers.heartbeat());
         assertEquals(behind.evacuated(), Set.of());
     }
@@ -79,7 +79,7 @@
     /** A box that has just started knows nothing, which says nothing of evacuations. */
     @Test
     public void aBoxThatKnowsNothingEndsNoEvacuation() {
-        reader.evacuations.offer(new Evacuations(7, Set.of("east")), "store");
+        reader.evacuations.updateIfNewer(new Evacuations(7, Set.of("east")), "store");
         reader.peers.heard(behind.peers.heartbeat());
         assertEquals(reader.evacuated(), Set.of("east"));
     }
--- a/relay/src/test/java/org/wingstall/relay/control/SourceHealthTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/SourceHealthTest.java
@@ -20,20 +20,20 @@
     public void pausesGrowWhileSomethingIsKnown(int failures, boolean known, long expectedMs) {
         SourceHealth health = new SourceHealth("test");
         for (int i = 0; i < failures; i++) {
-            health.ended(failure);
+            health.recordResult(failure);
         }
-        assertFalse(health.answers());
-        assertEquals(health.repeatMs(known), expectedMs);
+        assertFalse(health.available());
+        assertEquals(health.retryDelayMs(known), expectedMs);
     }
 
     @Test
     public void anAnswerClearsAll() {
         SourceHealth health = new SourceHealth("test");
-        health.ended(failure);
-        health.ended(failure);
-        health.ended(null);
-        assertTrue(health.answers());
-        health.ended(failure);
-        assertEquals(health.repeatMs(true), 250);
+        health.recordResult(failure);
+        health.recordResult(failure);
+        health.recordResult(null);
+        assertTrue(health.available());
+        health.recordResult(failure);
+        assertEquals(health.retryDelayMs(true), 250);
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/endpoint/StatedBoundTest.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/AdvertisedRateLimitTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.core.limit.StatedLimits;
-import org.wingstall.relay.endpoint.SendLimits.Chooser;
+import org.wingstall.core.limit.AdvertisedLimits;
+import org.wingstall.relay.endpoint.SendLimits.SelectionMode;
 import org.wingstall.relay.log.RelayMetrics;
 import org.wingstall.schema.peer.LimitNews;
 import org.wingstall.schema.platform.Member;
@@ -21,7 +21,7 @@
  * An endpoint is in need under a burst: every box has more requests for it at any moment than it takes. What all boxes send
  * together stays within what the endpoint's rate allows, whoever hears whom, and is not much less than its rate.
  */
-public class StatedBoundTest {
+public class AdvertisedRateLimitTest {
     private static final long STEP_MS = 50;
     private static final long PLAYED_MS = 9000;
     private static final int DOMAINS = 3;
@@ -61,21 +61,23 @@
     }
 
     /** A box, and the requests that it wants to send at every moment. */
-    private final class Box implements Fleet.View {
+    private final class Box implements Fleet.Provider {
         private final int number;
         private final List<String> fleet;
         private final SendLimits limits;
-        private final Coordination coordination;
+        private final CoordinationHistory coordination;
         private Layout layout = Layout.WHOLE;
 
         Box(int number, List<String> fleet, double requestsPerSecond) {
             this.number = number;
             this.fleet = fleet;
-            StatedLimits stated = new StatedLimits(fleet.get(number), StatedBoundTest.this::nowNs, new Silent());
-            stated.stated(endpoint.key(), requestsPerSecond);
-            this.coordination = new Coordination(StatedBoundTest.this::nowNs, this, StatedBound.WINDOW_MS);
-            this.limits = SendLimits.builder(StatedBoundTest.this::nowNs, this, coordination)
-                    .stated(stated)
+            AdvertisedLimits stated =
+                    new AdvertisedLimits(fleet.get(number), AdvertisedRateLimitTest.this::nowNs, new Silent());
+            stated.advertised(endpoint.key(), requestsPerSecond);
+            this.coordination =
+                    new CoordinationHistory(AdvertisedRateLimitTest.this::nowNs, this, AdvertisedRateLimit.WINDOW_MS);
+            this.limits = SendLimits.builder(AdvertisedRateLimitTest.this::nowNs, this, coordination)
+                    .limitAdvertised(stated)
                     .build(new RelayMetrics());
         }
 
@@ -105,12 +107,12 @@
         }
 
         @Override
-        public Fleet now() {
+        public Fleet snapshot() {
             return new Fleet(fleet.get(number), fleet, heard(), true, DOMAINS);
         }
 
         @Override
-        public boolean settled() {
+        public boolean discoveryComplete() {
             return true;
         }
 
@@ -120,23 +122,23 @@
         }
 
         /** Returns for whom this box chooses now; null when another box chooses for it. */
-        private Chooser chooser() {
+        private SelectionMode chooser() {
             if (layout == Layout.EACH_BOX) {
-                return Chooser.EACH_BOX;
+                return SelectionMode.INDEPENDENT;
             }
             if (coordinates("llm")) {
-                return Chooser.FOR_ALL;
+                return SelectionMode.COORDINATOR;
             }
-            return layout == Layout.SLOW_COORDINATOR ? Chooser.ALONE : null;
+            return layout == Layout.SLOW_COORDINATOR ? SelectionMode.FALLBACK : null;
         }
     }
 
-    private static final class Silent implements StatedLimits.Listener {
+    private static final class Silent implements AdvertisedLimits.Listener {
         @Override
-        public void tell(LimitNews news, String exceptBox) {}
+        public void broadcast(LimitNews news, String exceptBox) {}
 
         @Override
-        public void changed(StatedLimits.Limit limit) {}
+        public void changed(AdvertisedLimits.Limit limit) {}
     }
 
     /** Sends as much as is let through at each step, and counts the most within any window. */
@@ -158,7 +160,7 @@
             boxes.forEach(box -> box.layout = layout);
             long untilMs = nowMs + forMs;
             for (; nowMs < untilMs; nowMs += STEP_MS) {
-                if (nowMs % Coordination.SAMPLE_MS == 0) {
+                if (nowMs % CoordinationHistory.SAMPLE_MS == 0) {
                     boxes.forEach(box -> box.coordination.sample());
                 }
                 boxes.stream().filter(box -> box.chooser() != null).forEach(this::sendAll);
@@ -166,11 +168,11 @@
         }
 
         private void sendAll(Box box) {
-            while (!box.limits.open(List.of(endpoint), box.chooser()).isEmpty()) {
-                box.limits.sent(endpoint);
+            while (!box.limits.withinLimits(List.of(endpoint), box.chooser()).isEmpty()) {
+                box.limits.recordSend(endpoint);
                 sent++;
                 sentAtMs.addLast(nowMs);
-                while (nowMs - sentAtMs.peekFirst() >= StatedBound.WINDOW_MS) {
+                while (nowMs - sentAtMs.peekFirst() >= AdvertisedRateLimit.WINDOW_MS) {
                     sentAtMs.removeFirst();
                 }
                 most = Math.max(most, sentAtMs.size());
@@ -179,7 +181,7 @@
     }
 
     private static double allowed(double requestsPerSecond) {
-        return OVERRUN * requestsPerSecond * StatedBound.WINDOW_MS / 1000 + TOLERANCE;
+        return OVERRUN * requestsPerSecond * AdvertisedRateLimit.WINDOW_MS / 1000 + TOLERANCE;
     }
 
     @DataProvider
@@ -224,7 +226,10 @@
         burst.play(layout, PLAYED_MS);
         int before = burst.sent;
         burst.play(layout, PLAYED_MS);
-        double wanted = 0.8 * Math.floor(rate * StatedBound.WINDOW_MS / 1000) * PLAYED_MS / StatedBound.WINDOW_MS;
+        double wanted = 0.8
+                * Math.floor(rate * AdvertisedRateLimit.WINDOW_MS / 1000)
+                * PLAYED_MS
+                / AdvertisedRateLimit.WINDOW_MS;
         assertTrue(burst.sent - before >= wanted, (burst.sent - before) + " of " + wanted);
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/endpoint/ColdBoundTest.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/ColdStartLimitTest.java
@@ -14,8 +14,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.wingstall.relay.config.ColdSpec;
-import org.wingstall.relay.endpoint.SendLimits.Chooser;
+import org.wingstall.relay.config.ColdStartSpec;
+import org.wingstall.relay.endpoint.SendLimits.SelectionMode;
 import org.wingstall.relay.log.RelayMetrics;
 import org.wingstall.schema.platform.Member;
 
@@ -23,7 +23,7 @@
  * A failure domain comes back cold under a burst: every box has more requests for its endpoints at any moment than they bear.
  * What all boxes send together stays within that, however the fleet is cut apart.
  */
-public class ColdBoundTest {
+public class ColdStartLimitTest {
     private static final double RATE = 9.1;
     private static final double OVERRUN = 1.5;
     private static final double TOLERANCE = 5;
@@ -60,7 +60,7 @@
         ALL_ALONE
     }
 
-    private List<SendLimits> fleet(ColdShares shares, Layout layout, boolean forAll) {
+    private List<SendLimits> fleet(ColdStartShares shares, Layout layout, boolean forAll) {
         List<String> boxes = IntStream.range(0, DOMAINS * BOXES_IN_DOMAIN)
                 .mapToObj(box -> "box-" + box)
                 .toList();
@@ -87,16 +87,16 @@
         return limits;
     }
 
-    private SendLimits limits(ColdShares shares, Fleet.View sight) {
+    private SendLimits limits(ColdStartShares shares, Fleet.Provider sight) {
         return SendLimits.builder(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), sight)
-                .cold(
-                        service -> Optional.of(new ColdSpec(3000, RATE)),
-                        () -> new SendLimits.ColdOverrun(OVERRUN, TOLERANCE),
+                .limitColdStarts(
+                        service -> Optional.of(new ColdStartSpec(3000, RATE)),
+                        () -> new SendLimits.ColdStartBurst(OVERRUN, TOLERANCE),
                         shares)
                 .build(new RelayMetrics());
     }
 
-    private static Fleet.View aloneInTheFleet(boolean settled) {
+    private static Fleet.Provider aloneInTheFleet(boolean settled) {
         return new FixedFleet(new Fleet("box-0", List.of("box-0"), List.of("box-0"), true, 1), settled, true);
     }
 
@@ -109,21 +109,21 @@
         void play(List<SendLimits> forAll, List<SendLimits> alone) {
             long untilMs = nowMs + PLAYED_MS;
             for (; nowMs < untilMs; nowMs += STEP_MS) {
-                forAll.forEach(limits -> sendAll(limits, Chooser.FOR_ALL));
-                alone.forEach(limits -> sendAll(limits, Chooser.ALONE));
+                forAll.forEach(limits -> sendAll(limits, SelectionMode.COORDINATOR));
+                alone.forEach(limits -> sendAll(limits, SelectionMode.FALLBACK));
             }
         }
 
-        private void sendAll(SendLimits limits, Chooser chooser) {
-            while (!limits.open(List.of(endpoint), chooser).isEmpty()) {
-                limits.sent(endpoint);
+        private void sendAll(SendLimits limits, SelectionMode chooser) {
+            while (!limits.withinLimits(List.of(endpoint), chooser).isEmpty()) {
+                limits.recordSend(endpoint);
                 note();
             }
         }
 
         private void note() {
             sentAtMs.addLast(nowMs);
-            while (nowMs - sentAtMs.peekFirst() > ColdBound.WINDOW_MS) {
+            while (nowMs - sentAtMs.peekFirst() > ColdStartLimit.WINDOW_MS) {
                 sentAtMs.removeFirst();
             }
             most = Math.max(most, sentAtMs.size());
@@ -134,12 +134,12 @@
     @DataProvider
     public Object[][] layouts() {
         return Stream.of(Layout.values())
-                .map(layout -> new Object[] {new FixedColdShares(), layout})
+                .map(layout -> new Object[] {new EqualColdStartShares(), layout})
                 .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "layouts")
-    public void allBoxesTogetherSendNoMoreThanAColdEndpointBears(ColdShares shares, Layout layout) {
+    public void allBoxesTogetherSendNoMoreThanAColdEndpointBears(ColdStartShares shares, Layout layout) {
         Burst burst = new Burst();
         burst.play(fleet(shares, layout, true), fleet(shares, layout, false));
         assertTrue(burst.most <= BEARABLE, shares + " " + layout + ": " + burst.most);
@@ -148,7 +148,7 @@
 
     /** A box that chose for all until now, and those that choose for their parts from now on, send within the same second. */
     @Test(dataProvider = "layouts")
-    public void aCutThatComesUnderTheBurstChangesNothing(ColdShares shares, Layout layout) {
+    public void aCutThatComesUnderTheBurstChangesNothing(ColdStartShares shares, Layout layout) {
         Burst burst = new Burst();
         burst.play(fleet(shares, Layout.WHOLE, true), fleet(shares, Layout.WHOLE, false));
         burst.play(fleet(shares, layout, true), fleet(shares, layout, false));
@@ -162,18 +162,21 @@
         endpoints.applyList(List.of(new Member(
                 "warm", Member.Kind.ENDPOINT, "d0", "127.0.0.1:8", "llm", "v1", Member.State.LIVE, 1, 64, 0)));
         RelayEndpoint warm = endpoints.ofService("llm").get(0);
-        SendLimits limits = limits(new FixedColdShares(), aloneInTheFleet(false));
-        assertEquals(limits.open(List.of(endpoint, warm), Chooser.FOR_ALL), List.of(warm));
+        SendLimits limits = limits(new EqualColdStartShares(), aloneInTheFleet(false));
+        assertEquals(limits.withinLimits(List.of(endpoint, warm), SelectionMode.COORDINATOR), List.of(warm));
     }
 
     /** When what an endpoint said last is over it is warm, and nothing bounds what it gets. */
     @Test
     public void aWarmEndpointIsNotBounded() {
         nowMs += 60_001;
-        SendLimits limits = limits(new FixedColdShares(), aloneInTheFleet(true));
+        SendLimits limits = limits(new EqualColdStartShares(), aloneInTheFleet(true));
         for (int i = 0; i < 100; i++) {
-            assertEquals(limits.open(List.of(endpoint), Chooser.FOR_ALL).size(), 1);
-            limits.sent(endpoint);
+            assertEquals(
+                    limits.withinLimits(List.of(endpoint), SelectionMode.COORDINATOR)
+                            .size(),
+                    1);
+            limits.recordSend(endpoint);
         }
     }
 
@@ -181,12 +184,13 @@
     @Test
     public void aBoxThatBeginsToChooseWhileTheFleetIsCutApartChangesNothing() {
         Burst burst = new Burst();
-        List<SendLimits> parts = new ArrayList<>(fleet(new FixedColdShares(), Layout.CUT_APART_AND_ALONE, true));
-        List<SendLimits> alone = fleet(new FixedColdShares(), Layout.CUT_APART_AND_ALONE, false);
+        List<SendLimits> parts = new ArrayList<>(fleet(new EqualColdStartShares(), Layout.CUT_APART_AND_ALONE, true));
+        List<SendLimits> alone = fleet(new EqualColdStartShares(), Layout.CUT_APART_AND_ALONE, false);
         burst.play(parts, alone);
         parts.set(
                 0,
-                fleet(new FixedColdShares(), Layout.CUT_APART_AND_ALONE, true).get(0));
+                fleet(new EqualColdStartShares(), Layout.CUT_APART_AND_ALONE, true)
+                        .get(0));
         burst.play(parts, alone);
         assertTrue(burst.most <= BEARABLE, "in a second: " + burst.most);
     }
--- a/relay/src/test/java/org/wingstall/relay/endpoint/FixedFleet.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/FixedFleet.java
@@ -1,7 +1,7 @@
 package org.wingstall.relay.endpoint;
 
 /** A fleet that stays as a test says. */
-public record FixedFleet(Fleet now, boolean settled, boolean coordinates) implements Fleet.View {
+public record FixedFleet(Fleet snapshot, boolean discoveryComplete, boolean coordinates) implements Fleet.Provider {
     @Override
     public boolean coordinates(String service) {
         return coordinates;
--- a/relay/src/test/java/org/wingstall/relay/endpoint/LeastLoadedTest.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/LeastLoadedTest.java
@@ -46,15 +46,15 @@
     /** An endpoint whose few calls each opened a connection got none of the requests of a service that answers within ms. */
     @Test(dataProvider = "shortRuns")
     public void endpointsThatDifferByTheTimeOfAConnectionShareTheRequests(double firstMs, double secondMs) {
-        first.state().completed(firstMs);
-        second.state().completed(secondMs);
+        first.state().recordSuccess(firstMs);
+        second.state().recordSuccess(secondMs);
         assertEquals(partOfSecond(), 0.5, 0.1);
     }
 
     @Test
     public void anEndpointThatTakesTwiceAsLongGetsNothingWhileTheOtherIsIdle() {
-        first.state().completed(50);
-        second.state().completed(100);
+        first.state().recordSuccess(50);
+        second.state().recordSuccess(100);
         assertEquals(partOfSecond(), 0.0);
         for (int i = 0; i < 8; i++) {
             assertTrue(first.state().tryAcquire(8));
--- a/relay/src/test/java/org/wingstall/relay/endpoint/RelayEndpointsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/RelayEndpointsTest.java
@@ -60,7 +60,7 @@
     @Test
     public void anEntryThatGoesAfterAnOutageIsGoneAtOnce() {
         list("a", "b", "c");
-        endpoints.unread();
+        endpoints.markListUnavailable();
         nowMs += OUTAGE_MS;
         list("a", "b");
         nowMs += 500;
@@ -71,7 +71,7 @@
     @Test
     public void anEntryThatCameBackAfterAnOutageAndGoesIsGoneAtOnce() {
         list("a", "b");
-        endpoints.unread();
+        endpoints.markListUnavailable();
         nowMs += OUTAGE_MS;
         list("a");
         list("a", "b");
@@ -83,7 +83,7 @@
     @Test
     public void anEntryThatLapsedDuringAnOutageHasTimeToComeBack() {
         list("a", "b");
-        endpoints.unread();
+        endpoints.markListUnavailable();
         nowMs += OUTAGE_MS;
         list("a");
         assertEquals(usable(), List.of("a", "b"));
@@ -95,7 +95,7 @@
     @Test
     public void anEntryStillMissingAfterThatTimeIsGone() {
         list("a", "b");
-        endpoints.unread();
+        endpoints.markListUnavailable();
         nowMs += OUTAGE_MS;
         list("a");
         nowMs += 2400;
@@ -115,23 +115,23 @@
     public void failuresInARowKeepWorkAwayForAWhileAndAnAnswerClearsThem() {
         list("a");
         RelayEndpoint endpoint = endpoints.ofService("plain").get(0);
-        endpoint.failed("test");
-        endpoint.failed("test");
+        endpoint.recordFailure("test");
+        endpoint.recordFailure("test");
         assertTrue(endpoint.usable());
-        endpoint.failed("test");
+        endpoint.recordFailure("test");
         assertFalse(endpoint.usable());
         nowMs += 400;
         assertTrue(endpoint.usable());
-        endpoint.failed("test");
+        endpoint.recordFailure("test");
         nowMs += 400;
         assertFalse(endpoint.usable());
-        endpoint.answered(10);
+        endpoint.recordAnswer(10);
         assertTrue(endpoint.usable());
     }
 
     private void failTimes(int times) {
         for (int i = 0; i < times; i++) {
-            endpoints.ofService("plain").get(0).failed("test");
+            endpoints.ofService("plain").get(0).recordFailure("test");
         }
     }
 
@@ -147,7 +147,7 @@
     @Test
     public void oneCallWithoutAnyAnswerKeepsWorkAwayForAWhile() {
         list("a");
-        endpoints.ofService("plain").get(0).stalled("test");
+        endpoints.ofService("plain").get(0).recordNoAnswer("test");
         assertEquals(usable(), List.of());
         nowMs += 400;
         assertEquals(usable(), List.of("a"));
@@ -166,7 +166,7 @@
     @Test(dataProvider = "transportFailures")
     public void oneCallWithoutConnectionOrAnswerIsEnough(TransportException.Kind kind, boolean staysUsable) {
         list("a");
-        endpoints.ofService("plain").get(0).broken(new TransportException(kind, false, "test"));
+        endpoints.ofService("plain").get(0).recordTransportFailure(new TransportException(kind, false, "test"));
         assertEquals(usable(), staysUsable ? List.of("a") : List.of());
     }
 
--- a/relay/src/test/java/org/wingstall/relay/endpoint/SilenceWatchTest.java
+++ b/relay/src/test/java/org/wingstall/relay/endpoint/SilenceWatchTest.java
@@ -38,7 +38,7 @@
         endpoints.applyList(Stream.of("east-1", "east-2", "east-3", "west-1", "west-2", "east-plain")
                 .map(SilenceWatchTest::entry)
                 .toList());
-        StateQuestions questions = (endpoint, purpose, answered, silent) -> {
+        StateQueries questions = (endpoint, purpose, answered, silent) -> {
             asked.add(endpoint.id());
             if (silentIds.contains(endpoint.id())) {
                 loop.execute(silent);
@@ -78,7 +78,7 @@
     }
 
     private void stalls(String id) {
-        loop.execute(() -> endpoints.find(id).orElseThrow().stalled("a call without an answer"));
+        loop.execute(() -> endpoints.find(id).orElseThrow().recordNoAnswer("a call without an answer"));
     }
 
     private void awaitUsable(String... ids) {
@@ -116,7 +116,7 @@
     }
 
     private void doubts(String id, Runnable silent) {
-        loop.execute(() -> watch.doubt(endpoints.find(id).orElseThrow(), silent));
+        loop.execute(() -> watch.checkSuspect(endpoints.find(id).orElseThrow(), silent));
     }
 
     /** Before, an engine that took requests and said nothing got more of them until their connections broke, 2 s later. */
--- a/relay/src/test/java/org/wingstall/relay/engine/EngineLedgerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/engine/EngineLoadBalancerTest.java
@@ -20,19 +20,20 @@
 import org.wingstall.schema.platform.Member;
 
 /** Which engine is chosen for a prompt, by what all of them were given. */
-public class EngineLedgerTest {
+public class EngineLoadBalancerTest {
     private long nowMs;
     private RelayEndpoints endpoints;
-    private EngineLedger ledger;
+    private EngineLoadBalancer ledger;
     private int prompts;
 
     @BeforeMethod
     public void create() {
         nowMs = 0;
         endpoints = new RelayEndpoints(() -> TimeUnit.MILLISECONDS.toNanos(nowMs));
-        endpoints.applyList(
-                Stream.of("a", "b", "c", "d").map(EngineLedgerTest::engine).toList());
-        ledger = new EngineLedger(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), engine -> false);
+        endpoints.applyList(Stream.of("a", "b", "c", "d")
+                .map(EngineLoadBalancerTest::engine)
+                .toList());
+        ledger = new EngineLoadBalancer(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), engine -> false);
     }
 
     private static Member engine(String id) {
@@ -50,16 +51,16 @@
         return Prompt.of(List.of(new PromptPart(shared, sharedTokens), new PromptPart(own, ownTokens)));
     }
 
-    private EngineLedger.Choice choose(List<RelayEndpoint> engines, Prompt prompt, EngineInputs inputs) {
-        return ledger.choose(new EngineLedger.Wanted(engines, prompt, inputs, 1000, Optional.empty()));
+    private EngineLoadBalancer.Choice choose(List<RelayEndpoint> engines, Prompt prompt, InputLocation inputs) {
+        return ledger.choose(new EngineLoadBalancer.SelectionContext(engines, prompt, inputs, 1000, Optional.empty()));
     }
 
     private void answeredLate(String id) {
-        ledger.answered(endpoints.find(id).orElseThrow(), new EngineExpectation(100, 0, 1000), 800);
+        ledger.recordFirstAnswer(endpoints.find(id).orElseThrow(), new EngineEstimate(100, 0, 1000), 800);
     }
 
     private RelayEndpoint choose(Prompt prompt) {
-        return choose(endpoints.ofService("llm"), prompt, EngineInputs.NONE).endpoint();
+        return choose(endpoints.ofService("llm"), prompt, InputLocation.NONE).endpoint();
     }
 
     @Test
@@ -96,7 +97,7 @@
     public void amongEnginesWithLittleToReadTheNearOneIsChosen() {
         for (int i = 0; i < 5; i++) {
             Prompt alone = Prompt.of(List.of(new PromptPart("own" + i, 100)));
-            RelayEndpoint chosen = choose(endpoints.ofService("llm"), alone, new EngineInputs("west", 1_000_000))
+            RelayEndpoint chosen = choose(endpoints.ofService("llm"), alone, new InputLocation("west", 1_000_000))
                     .endpoint();
             assertEquals(chosen.id(), "d");
             nowMs += 1000;
@@ -106,11 +107,11 @@
     @Test
     public void theExpectedTimeCoversThePromptsThatWait() {
         List<RelayEndpoint> one = endpoints.ofService("llm").subList(0, 1);
-        long first = choose(one, prompt("menu", 6120, 6120), EngineInputs.NONE)
-                .expectation()
+        long first = choose(one, prompt("menu", 6120, 6120), InputLocation.NONE)
+                .estimate()
                 .firstAnswerMs();
-        long second = choose(one, prompt("menu", 6120, 6120), EngineInputs.NONE)
-                .expectation()
+        long second = choose(one, prompt("menu", 6120, 6120), InputLocation.NONE)
+                .estimate()
                 .firstAnswerMs();
         assertTrue(second >= first + 100, first + " then " + second);
     }
@@ -125,21 +126,21 @@
 
     private static final EngineSpec FETCHING = new EngineSpec(true, 163_840, 32_500_000, 300_000);
 
-    private EngineLedger.Choice chooseFetching(Prompt prompt, String inputDomain) {
-        EngineInputs inputs = new EngineInputs(inputDomain, 4_000_000);
-        return ledger.choose(
-                new EngineLedger.Wanted(endpoints.ofService("llm"), prompt, inputs, 1000, Optional.of(FETCHING)));
+    private EngineLoadBalancer.Choice chooseFetching(Prompt prompt, String inputDomain) {
+        InputLocation inputs = new InputLocation(inputDomain, 4_000_000);
+        return ledger.choose(new EngineLoadBalancer.SelectionContext(
+                endpoints.ofService("llm"), prompt, inputs, 1000, Optional.of(FETCHING)));
     }
 
     /** Before, the one engine that keeps the shared part was chosen, and 4 MB of inputs went to its failure domain. */
     @Test
     public void theEngineNearTheInputsFetchesWhatAnotherHasRead() {
-        EngineLedger.Choice first = chooseFetching(prompt("menu", 6300, 500), "east");
+        EngineLoadBalancer.Choice first = chooseFetching(prompt("menu", 6300, 500), "east");
         nowMs += 2000;
-        EngineLedger.Choice second = chooseFetching(prompt("menu", 6300, 500), "west");
+        EngineLoadBalancer.Choice second = chooseFetching(prompt("menu", 6300, 500), "west");
         assertEquals(second.endpoint().id(), "d");
         assertEquals(second.fetchFrom(), first.endpoint().state().address());
-        assertEquals(second.expectation().readTokens(), 500);
+        assertEquals(second.estimate().prefillTokens(), 500);
     }
 
     @Test
@@ -162,11 +163,11 @@
 
     @Test
     public void partsUnusedLongestGiveWayInAnEnginesMemory() {
-        EngineMemory memory = new EngineMemory(10_000);
+        PrefixCacheModel memory = new PrefixCacheModel(10_000);
         Prompt first = prompt("menu", 6300, 100);
-        memory.remember(first, 0);
-        assertEquals(memory.given(first), 2);
-        memory.remember(prompt("lunch", 6300, 100), 0);
-        assertEquals(memory.given(first), 0);
+        memory.add(first, 0);
+        assertEquals(memory.assignedParts(first), 2);
+        memory.add(prompt("lunch", 6300, 100), 0);
+        assertEquals(memory.assignedParts(first), 0);
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/engine/EngineBrokerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/engine/EngineSelectorTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.wingstall.peer.EngineLinks;
-import org.wingstall.relay.config.ColdSpec;
-import org.wingstall.relay.endpoint.FixedColdShares;
+import org.wingstall.relay.config.ColdStartSpec;
+import org.wingstall.relay.endpoint.EqualColdStartShares;
 import org.wingstall.relay.endpoint.FixedFleet;
 import org.wingstall.relay.endpoint.Fleet;
 import org.wingstall.relay.endpoint.RelayEndpoint;
@@ -34,20 +34,20 @@
 import org.wingstall.schema.platform.Member;
 
 /** A box asks the one that chooses for all, and goes by what it knows itself without an answer. */
-public class EngineBrokerTest implements EngineLinks {
+public class EngineSelectorTest implements EngineLinks {
     private static final Prompt PROMPT = Prompt.of(List.of(new PromptPart("menu", 1200), new PromptPart("own", 100)));
 
     private EventLoop loop;
     private RelayEndpoints endpoints;
-    private EngineBroker broker;
+    private EngineSelector broker;
     private boolean linked;
-    private Optional<ColdSpec> coldSpec;
+    private Optional<ColdStartSpec> coldSpec;
     private final List<Long> notNow = new ArrayList<>();
     private final Map<Long, EngineAsk> asks = new ConcurrentHashMap<>();
     private final List<EngineChoice> choices = new ArrayList<>();
     private final List<EngineOutcome> outcomes = new ArrayList<>();
     private final List<String> doubted = new ArrayList<>();
-    private final List<EngineTicket> tickets = new CopyOnWriteArrayList<>();
+    private final List<EngineAssignment> tickets = new CopyOnWriteArrayList<>();
 
     @BeforeMethod
     public void create() {
@@ -59,14 +59,15 @@
         doubted.clear();
         tickets.clear();
         endpoints = new RelayEndpoints(System::nanoTime);
-        endpoints.applyList(Stream.of("a", "b").map(EngineBrokerTest::engine).toList());
+        endpoints.applyList(Stream.of("a", "b").map(EngineSelectorTest::engine).toList());
         notNow.clear();
         coldSpec = Optional.empty();
-        Fleet.View fleet = new FixedFleet(new Fleet("hub", List.of("hub"), List.of("hub"), true, 1), true, true);
+        Fleet.Provider fleet = new FixedFleet(new Fleet("hub", List.of("hub"), List.of("hub"), true, 1), true, true);
         SendLimits limits = SendLimits.builder(System::nanoTime, fleet)
-                .cold(service -> coldSpec, () -> new SendLimits.ColdOverrun(1, 0), new FixedColdShares())
+                .limitColdStarts(
+                        service -> coldSpec, () -> new SendLimits.ColdStartBurst(1, 0), new EqualColdStartShares())
                 .build(new RelayMetrics());
-        broker = new EngineBroker(
+        broker = new EngineSelector(
                 loop,
                 System::nanoTime,
                 this,
@@ -106,15 +107,16 @@
 
     private void choose() throws Exception {
         loop.submit(() -> broker.choose(
-                        new EngineBroker.Question("llm", endpoints.ofService("llm"), PROMPT, EngineInputs.NONE, 1000),
-                        new EngineBroker.Receiver() {
+                        new EngineSelector.SelectionRequest(
+                                "llm", endpoints.ofService("llm"), PROMPT, InputLocation.NONE, 1000),
+                        new EngineSelector.SelectionListener() {
                             @Override
-                            public void chosen(EngineTicket ticket) {
+                            public void chosen(EngineAssignment ticket) {
                                 tickets.add(ticket);
                             }
 
                             @Override
-                            public void noneNow(long againMs) {
+                            public void noneAvailable(long againMs) {
                                 notNow.add(againMs);
                             }
                         }))
@@ -131,9 +133,9 @@
     public void theChoiceOfTheHubIsTakenAndItsOutcomeTold() throws Exception {
         choose();
         hubChooses("b");
-        EngineTicket ticket = tickets.get(0);
+        EngineAssignment ticket = tickets.get(0);
         assertEquals(ticket.endpoint().id(), "b");
-        assertEquals(ticket.chooser(), "hub");
+        assertEquals(ticket.coordinator(), "hub");
         ticket.answered();
         ticket.unreachable();
         assertEquals(outcomes.size(), 1);
@@ -151,7 +153,7 @@
         choose();
         hubChooses(endpoint);
         assertEquals(tickets.size(), 1);
-        assertEquals(tickets.get(0).chooser(), null);
+        assertEquals(tickets.get(0).coordinator(), null);
     }
 
     @Test
@@ -160,7 +162,7 @@
         Awaitility.await().until(() -> !tickets.isEmpty());
         hubChooses("a");
         assertEquals(tickets.size(), 1);
-        assertEquals(tickets.get(0).chooser(), null);
+        assertEquals(tickets.get(0).coordinator(), null);
     }
 
     @Test
@@ -204,8 +206,8 @@
 
     /** The entries of new engines are read after the first list, so they have just started. */
     private void startColdEngines() {
-        coldSpec = Optional.of(new ColdSpec(60_000, 4));
-        endpoints.applyList(Stream.of("c", "d").map(EngineBrokerTest::engine).toList());
+        coldSpec = Optional.of(new ColdStartSpec(60_000, 4));
+        endpoints.applyList(Stream.of("c", "d").map(EngineSelectorTest::engine).toList());
     }
 
     @Test
--- a/relay/src/test/java/org/wingstall/relay/pool/CallPatienceTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/CallTimeoutsTest.java
@@ -5,38 +5,38 @@
 import org.testng.annotations.Test;
 import org.wingstall.relay.config.PoolSpec;
 
-public class CallPatienceTest {
+public class CallTimeoutsTest {
     private static final PoolSpec SPEC = new PoolSpec(1, 2, 8, 150, 16, 43_000_000, 4000);
     private static final int ENDPOINTS = 4;
 
-    private final CallPatience patience = new CallPatience();
+    private final CallTimeouts patience = new CallTimeouts();
 
     private long fullCallMs() {
-        return patience.timeoutMs(SPEC, SPEC.batch(), ENDPOINTS);
+        return patience.timeoutMs(SPEC, SPEC.maxBatchSize(), ENDPOINTS);
     }
 
     private void answeredAfter(long tookMs) {
-        patience.answered(SPEC, SPEC.batch(), tookMs);
+        patience.recordAnswer(SPEC, SPEC.maxBatchSize(), tookMs);
     }
 
     @Test
     public void aStoppedEndpointHoldsItsPiecesForAboutThreeCallsAtMost() {
         for (int i = 0; i < 20; i++) {
-            patience.lost();
+            patience.recordLoss();
             answeredAfter(200);
         }
-        assertEquals(fullCallMs(), 3 * Math.round(SPEC.callMs(SPEC.batch())));
+        assertEquals(fullCallMs(), 3 * Math.round(SPEC.callMs(SPEC.maxBatchSize())));
     }
 
     @Test
     public void aServiceWhoseEndpointsAreAllSlowGetsLongerCallsUpToABound() {
         long usualMs = fullCallMs();
         for (int i = 0; i < ENDPOINTS; i++) {
-            patience.lost();
+            patience.recordLoss();
         }
         assertEquals(fullCallMs(), 2 * usualMs);
         for (int i = 0; i < 10 * ENDPOINTS; i++) {
-            patience.lost();
+            patience.recordLoss();
         }
         assertEquals(fullCallMs(), 4 * usualMs);
         answeredAfter(usualMs + 1);
--- a/relay/src/test/java/org/wingstall/relay/pool/PieceGroups.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PieceGroups.java
@@ -21,11 +21,11 @@
     private static PieceGroup group(
             int rank, long targetAtMs, int pieces, long resultBytes, String nearDomain, boolean apart) {
         Urgency urgency = new Urgency(rank, targetAtMs, 9000);
-        List<PieceTicket> tickets = new ArrayList<>();
+        List<PieceTask> tickets = new ArrayList<>();
         for (int i = 0; i < pieces; i++) {
             Piece piece = new Piece("request", 0, i, "key", List.of(), "key");
-            tickets.add(new PieceTicket(
-                    piece, urgency, new PieceTicket.Placement(nearDomain, resultBytes, MB), (ticket, made) -> {}));
+            tickets.add(new PieceTask(
+                    piece, urgency, new PieceTask.Placement(nearDomain, resultBytes, MB), (ticket, made) -> {}));
         }
         return new PieceGroup(tickets, 0, 0, apart);
     }
--- a/relay/src/test/java/org/wingstall/relay/pool/AdmissionOfLateGroupsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolAdmissionTest.java
@@ -8,7 +8,7 @@
 import org.wingstall.relay.wire.Piece;
 
 /** What would be late is turned away while more arrives than a pool can do, unless other stages were done for it. */
-public class AdmissionOfLateGroupsTest {
+public class PoolAdmissionTest {
     private static final long TARGET_MS = 1000;
     private static final long DUE_MS = 1500;
     private static final long CALL_MS = 1200;
@@ -28,10 +28,10 @@
     public void aGroupThatWouldBeLateIsTurnedAwayBeforeAnythingWasDoneForIt(
             double load, boolean readsResults, int turnedAway) {
         PoolForecast forecast = new PoolForecast(List.of(0L), 7, pieces -> CALL_MS);
-        PoolOutlook outlook = new PoolOutlook(forecast, group -> 0, load);
+        AdmissionContext outlook = new AdmissionContext(forecast, group -> 0, load);
         assertEquals(
-                PoolAdmission.IN_TIME_UNDER_LOAD
-                        .turnedAway(List.of(group(readsResults)), outlook, 0)
+                PoolAdmission.UNTIL_TARGET_UNDER_OVERLOAD
+                        .rejected(List.of(group(readsResults)), outlook, 0)
                         .size(),
                 turnedAway);
     }
@@ -40,8 +40,8 @@
         Piece piece = readsResults
                 ? new Piece("request", 1, 0, null, List.of("10.0.0.1:1/a"), "key")
                 : new Piece("request", 0, 0, "key", List.of(), "key");
-        PieceTicket ticket = new PieceTicket(
-                piece, new Urgency(0, TARGET_MS, DUE_MS), new PieceTicket.Placement("", 0, 0), (ended, made) -> {});
+        PieceTask ticket = new PieceTask(
+                piece, new Urgency(0, TARGET_MS, DUE_MS), new PieceTask.Placement("", 0, 0), (ended, made) -> {});
         return new PieceGroup(List.of(ticket), 0, CALL_MS / 2.0, false);
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/pool/PoolReplay.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolSimulation.java
@@ -17,42 +17,42 @@
  * Replays a load on the decisions of one pool, against a model of its endpoints: what a call costs, the room that results
  * take until their reader has them, endpoints that are slow or silent. Time is simulated, so a minute of load takes some ms.
  */
-final class PoolReplay {
+final class PoolSimulation {
     /** Pause between two offers of what found no endpoint, in ms; that of the pool itself. */
     private static final long OFFER_AGAIN_MS = 15;
 
-    private final Site site;
+    private final PoolSetup site;
     private final PoolPolicies policies;
     private final SplittableRandom random;
     private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(this.nowMs);
-    private final RoomLedger ledger = new RoomLedger(clock);
-    private final CallTimes times = new CallTimes();
+    private final ResultCapacityTracker ledger = new ResultCapacityTracker(clock);
+    private final CallTimeEstimator times = new CallTimeEstimator();
     private final PoolLoad load = new PoolLoad(clock);
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atMs));
     private final List<PieceGroup> waiting = new ArrayList<>();
-    private final Map<PieceGroup, Work> works = new HashMap<>();
-    private final Map<Maker, Long> busyUntilMs = new HashMap<>();
+    private final Map<PieceGroup, PendingRequest> works = new HashMap<>();
+    private final Map<SimulatedEndpoint, Long> busyUntilMs = new HashMap<>();
     private final Map<String, Outcome> outcomes = new HashMap<>();
     private long nowMs;
     private long offerAtMs = -1;
     private double wastedMs;
 
     /** A kind of request that needs the pool. */
-    record Kind(
+    record RequestKind(
             String name, int rank, double perSecond, int mostPieces, long resultBytes, long targetMs, double worth) {}
 
     /** An endpoint; a silent one loses the calls that reach it while it is silent, after a time. */
-    record Maker(String id, String failureDomain, double slowness, long silentFromMs, long silentUntilMs) {
-        static Maker sound(String id, String failureDomain) {
-            return new Maker(id, failureDomain, 1, Long.MAX_VALUE, Long.MAX_VALUE);
+    record SimulatedEndpoint(String id, String failureDomain, double slowness, long silentFromMs, long silentUntilMs) {
+        static SimulatedEndpoint sound(String id, String failureDomain) {
+            return new SimulatedEndpoint(id, failureDomain, 1, Long.MAX_VALUE, Long.MAX_VALUE);
         }
 
-        Maker slow(double times) {
-            return new Maker(id, failureDomain, times, silentFromMs, silentUntilMs);
+        SimulatedEndpoint slow(double times) {
+            return new SimulatedEndpoint(id, failureDomain, times, silentFromMs, silentUntilMs);
         }
 
-        Maker silent(long fromMs, long untilMs) {
-            return new Maker(id, failureDomain, slowness, fromMs, untilMs);
+        SimulatedEndpoint silent(long fromMs, long untilMs) {
+            return new SimulatedEndpoint(id, failureDomain, slowness, fromMs, untilMs);
         }
     }
 
@@ -60,10 +60,10 @@
     record Burst(String kind, double times, long fromMs, long untilMs) {}
 
     /** What a load is played on. */
-    record Site(
+    record PoolSetup(
             PoolSpec spec,
-            List<Maker> makers,
-            List<Kind> kinds,
+            List<SimulatedEndpoint> makers,
+            List<RequestKind> kinds,
             List<Burst> bursts,
             double formerResultsPart,
             long lengthMs,
@@ -122,15 +122,15 @@
     private record Event(long atMs, Runnable action) {}
 
     /** A request that waits for its pieces. */
-    private static final class Work {
-        private final Kind kind;
+    private static final class PendingRequest {
+        private final RequestKind kind;
         private final long arrivedMs;
         private final boolean largest;
         private int left;
         private double spentMs;
         private boolean over;
 
-        Work(Kind kind, long arrivedMs, int pieces) {
+        PendingRequest(RequestKind kind, long arrivedMs, int pieces) {
             this.kind = kind;
             this.arrivedMs = arrivedMs;
             this.largest = pieces == kind.mostPieces();
@@ -138,7 +138,7 @@
         }
     }
 
-    PoolReplay(Site site, PoolPolicies policies, long seed) {
+    PoolSimulation(PoolSetup site, PoolPolicies policies, long seed) {
         this.site = site;
         this.policies = policies;
         this.random = new SplittableRandom(seed);
@@ -147,10 +147,10 @@
     Result play() {
         site.kinds().forEach(kind -> outcomes.put(kind.name(), new Outcome()));
         site.kinds().forEach(kind -> planArrival(kind, 0));
-        for (Maker maker : site.makers()) {
+        for (SimulatedEndpoint maker : site.makers()) {
             busyUntilMs.put(maker, 0L);
-            double free = site.spec().roomBytes() * (1 - site.formerResultsPart());
-            ledger.foundAtFirst(maker.id(), site.spec(), free);
+            double free = site.spec().resultCapacityBytes() * (1 - site.formerResultsPart());
+            ledger.recordInitialFreeBytes(maker.id(), site.spec(), free);
         }
         while (!events.isEmpty()) {
             Event next = events.poll();
@@ -165,7 +165,7 @@
     }
 
     /** A late answer is worth about a seventh of one in time. */
-    private double earned(Kind kind) {
+    private double earned(RequestKind kind) {
         Outcome outcome = outcomes.get(kind.name());
         return kind.worth() * (outcome.inTime + 0.15 * outcome.late);
     }
@@ -174,7 +174,7 @@
         events.add(new Event(atMs, action));
     }
 
-    private void planArrival(Kind kind, long afterMs) {
+    private void planArrival(RequestKind kind, long afterMs) {
         double times = site.bursts().stream()
                 .filter(burst ->
                         burst.kind().equals(kind.name()) && burst.fromMs() <= afterMs && afterMs < burst.untilMs())
@@ -191,35 +191,35 @@
         }
     }
 
-    private void arrive(Kind kind) {
+    private void arrive(RequestKind kind) {
         int pieces = 1 + random.nextInt(kind.mostPieces());
         outcomes.get(kind.name()).asked++;
-        Work work = new Work(kind, nowMs, pieces);
+        PendingRequest work = new PendingRequest(kind, nowMs, pieces);
         outcomes.get(kind.name()).largestAsked += work.largest ? 1 : 0;
         Urgency urgency = new Urgency(
                 kind.rank(), nowMs + kind.targetMs() - site.readerMs(), nowMs + Math.round(1.5 * kind.targetMs()));
-        List<PieceTicket> tickets = new ArrayList<>();
+        List<PieceTask> tickets = new ArrayList<>();
         for (int i = 0; i < pieces; i++) {
-            tickets.add(new PieceTicket(
+            tickets.add(new PieceTask(
                     new Piece(kind.name() + nowMs, 0, i, "key", List.of(), "key"),
                     urgency,
-                    new PieceTicket.Placement("", kind.resultBytes(), 0),
+                    new PieceTask.Placement("", kind.resultBytes(), 0),
                     (ticket, made) -> {}));
         }
         PieceGroup group = new PieceGroup(
                 tickets,
                 nowMs,
-                times.callMs(site.spec(), Math.min(pieces, site.spec().batch())),
+                times.callMs(site.spec(), Math.min(pieces, site.spec().maxBatchSize())),
                 false);
         works.put(group, work);
         waiting.add(group);
-        load.arrived(times.workMs(site.spec(), pieces));
+        load.recordArrival(times.slotTimeMs(site.spec(), pieces));
         offer();
     }
 
     private void offer() {
         List<PieceGroup> ended = waiting.stream()
-                .filter(group -> group.urgency().dueAtMs() <= nowMs)
+                .filter(group -> group.urgency().deadlineAtMs() <= nowMs)
                 .toList();
         waiting.removeAll(ended);
         ended.forEach(group -> {
@@ -242,9 +242,11 @@
         }
         PoolForecast forecast = forecast();
         List<PieceGroup> inOrder = policies.order().sorted(waiting, nowMs);
-        PoolOutlook outlook = new PoolOutlook(
-                forecast, this::roomAtMs, load.against(forecast.slotsFreeAtMs().size()));
-        for (PoolAdmission.TurnedAway away : policies.admission().turnedAway(inOrder, outlook, nowMs)) {
+        AdmissionContext outlook = new AdmissionContext(
+                forecast,
+                this::roomAtMs,
+                load.relativeTo(forecast.slotsFreeAtMs().size()));
+        for (PoolAdmission.RejectedGroup away : policies.admission().rejected(inOrder, outlook, nowMs)) {
             waiting.remove(away.group());
             outcomes.get(works.get(away.group()).kind.name()).refused++;
             giveUp(works.get(away.group()));
@@ -256,47 +258,47 @@
                 .filter(this::usable)
                 .map(maker -> Math.max(nowMs, busyUntilMs.get(maker)))
                 .toList();
-        return new PoolForecast(freeAtMs, site.spec().batch(), pieces -> times.callMs(site.spec(), pieces));
+        return new PoolForecast(freeAtMs, site.spec().maxBatchSize(), pieces -> times.callMs(site.spec(), pieces));
     }
 
     private long roomAtMs(PieceGroup group) {
         return site.makers().stream()
-                .mapToLong(
-                        maker -> ledger.roomAtMs(maker.id(), site.spec().roomBytes(), group.neededBytes(site.spec())))
+                .mapToLong(maker -> ledger.capacityAtMs(
+                        maker.id(), site.spec().resultCapacityBytes(), group.neededBytes(site.spec())))
                 .min()
                 .orElse(nowMs);
     }
 
-    private void giveUp(Work work) {
+    private void giveUp(PendingRequest work) {
         work.over = true;
         wastedMs += work.spentMs;
     }
 
     /** A silent endpoint is known as such from the first call that it lost until it answers. */
-    private boolean usable(Maker maker) {
+    private boolean usable(SimulatedEndpoint maker) {
         boolean known = busyUntilMs.get(maker) >= maker.silentFromMs();
         return !(known && nowMs < maker.silentUntilMs() && nowMs >= maker.silentFromMs());
     }
 
     private boolean sendOne() {
-        List<CallPlanner.Maker> makers = site.makers().stream()
+        List<CallPlanner.EndpointCapacity> makers = site.makers().stream()
                 .filter(this::usable)
-                .map(maker -> new CallPlanner.Maker(
+                .map(maker -> new CallPlanner.EndpointCapacity(
                         maker.id(),
                         maker.failureDomain(),
                         busyUntilMs.get(maker) <= nowMs ? 1 : 0,
-                        ledger.freeBytes(maker.id(), site.spec().roomBytes()),
+                        ledger.freeBytes(maker.id(), site.spec().resultCapacityBytes()),
                         random.nextDouble() / 2))
                 .toList();
         Optional<CallPlanner.PlannedCall> planned =
-                policies.planner().next(policies.order().sorted(waiting, nowMs), makers, site.spec(), nowMs);
+                policies.planner().planNext(policies.order().sorted(waiting, nowMs), makers, site.spec(), nowMs);
         planned.ifPresent(this::begin);
         return planned.isPresent();
     }
 
     private void begin(CallPlanner.PlannedCall planned) {
-        Maker maker = site.makers().stream()
-                .filter(one -> one.id().equals(planned.maker().endpointId()))
+        SimulatedEndpoint maker = site.makers().stream()
+                .filter(one -> one.id().equals(planned.endpoint().endpointId()))
                 .findFirst()
                 .orElseThrow();
         int pieces = 0;
@@ -315,16 +317,16 @@
         busyUntilMs.put(maker, endsAtMs);
         at(endsAtMs, () -> {
             if (!lost) {
-                times.took(site.spec(), carried, tookMs);
+                times.record(site.spec(), carried, tookMs);
             }
             planned.parts().forEach(part -> ended(maker, part, tookMs / (double) carried, lost));
             offer();
         });
     }
 
-    private void ended(Maker maker, CallPlanner.Part part, double pieceMs, boolean lost) {
+    private void ended(SimulatedEndpoint maker, CallPlanner.Part part, double pieceMs, boolean lost) {
         double bytes = part.pieces() * (double) part.group().placement().resultBytes();
-        Work work = works.get(part.group());
+        PendingRequest work = works.get(part.group());
         work.spentMs += part.pieces() * pieceMs;
         if (lost) {
             ledger.release(maker.id(), bytes);
--- a/relay/src/test/java/org/wingstall/relay/pool/PoolReplayTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolSimulationTest.java
@@ -8,50 +8,54 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.wingstall.relay.config.PoolSpec;
-import org.wingstall.relay.pool.PoolReplay.Burst;
-import org.wingstall.relay.pool.PoolReplay.Kind;
-import org.wingstall.relay.pool.PoolReplay.Maker;
-import org.wingstall.relay.pool.PoolReplay.Result;
-import org.wingstall.relay.pool.PoolReplay.Site;
+import org.wingstall.relay.pool.PoolSimulation.Burst;
+import org.wingstall.relay.pool.PoolSimulation.PoolSetup;
+import org.wingstall.relay.pool.PoolSimulation.RequestKind;
+import org.wingstall.relay.pool.PoolSimulation.Result;
+import org.wingstall.relay.pool.PoolSimulation.SimulatedEndpoint;
 
 /** Loads at their worst, replayed on the decisions of a pool: what is in time, late, refused and thrown away. */
-public class PoolReplayTest {
+public class PoolSimulationTest {
     private static final long MB = 1_000_000;
     private static final int SEEDS = 3;
 
     /** Everything waits, in the order that a gateway uses otherwise. */
     private static final PoolPolicies WITHOUT_ADMISSION =
-            new PoolPolicies(GroupOrder.EARLIEST_TARGET, PoolAdmission.TAKE_ALL, new WholeGroups());
+            new PoolPolicies(GroupOrder.EARLIEST_TARGET, PoolAdmission.ACCEPT_ALL, new WholeGroupPlanner());
 
     /** Late answers are made as long as their callers wait, whatever they keep from being in time. */
     private static final PoolPolicies WHILE_DUE =
-            new PoolPolicies(GroupOrder.EARLIEST_TARGET, PoolAdmission.WHILE_DUE, new WholeGroups());
+            new PoolPolicies(GroupOrder.EARLIEST_TARGET, PoolAdmission.UNTIL_DEADLINE, new WholeGroupPlanner());
 
     private static final PoolSpec SPEC = new PoolSpec(1, 2, 7, 200, 24, 15.75 * MB, 4000);
-    private static final Kind URGENT = new Kind("urgent", 0, 6, 4, 3 * MB / 2, 1100, 4.7);
-    private static final Kind USUAL = new Kind("usual", 1, 8, 2, 8000, 1500, 1.1);
-    private static final Kind BULK = new Kind("bulk", 2, 5, 3, 3 * MB / 2, 2500, 0.4);
-
-    private static List<Maker> threeDomains() {
-        return List.of(Maker.sound("a", "east"), Maker.sound("b", "west"), Maker.sound("c", "north"));
+    private static final RequestKind URGENT = new RequestKind("urgent", 0, 6, 4, 3 * MB / 2, 1100, 4.7);
+    private static final RequestKind USUAL = new RequestKind("usual", 1, 8, 2, 8000, 1500, 1.1);
+    private static final RequestKind BULK = new RequestKind("bulk", 2, 5, 3, 3 * MB / 2, 2500, 0.4);
+
+    private static List<SimulatedEndpoint> threeDomains() {
+        return List.of(
+                SimulatedEndpoint.sound("a", "east"),
+                SimulatedEndpoint.sound("b", "west"),
+                SimulatedEndpoint.sound("c", "north"));
     }
 
-    private static Site site(List<Maker> makers, double formerResultsPart, Burst... bursts) {
-        return new Site(SPEC, makers, List.of(URGENT, USUAL, BULK), List.of(bursts), formerResultsPart, 20_000, 200);
+    private static PoolSetup site(List<SimulatedEndpoint> makers, double formerResultsPart, Burst... bursts) {
+        return new PoolSetup(
+                SPEC, makers, List.of(URGENT, USUAL, BULK), List.of(bursts), formerResultsPart, 20_000, 200);
     }
 
-    private static double worth(Site site, PoolPolicies policies) {
+    private static double worth(PoolSetup site, PoolPolicies policies) {
         double sum = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            sum += new PoolReplay(site, policies, seed).play().worth();
+            sum += new PoolSimulation(site, policies, seed).play().worth();
         }
         return sum / SEEDS;
     }
 
-    private static int urgentInTime(Site site, PoolPolicies policies) {
+    private static int urgentInTime(PoolSetup site, PoolPolicies policies) {
         int sum = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            sum += new PoolReplay(site, policies, seed)
+            sum += new PoolSimulation(site, policies, seed)
                     .play()
                     .kinds()
                     .get("urgent")
@@ -63,9 +67,10 @@
     /** Load, policy to compare with, and the least gain of worth over it. */
     @DataProvider
     public Object[][] loads() {
-        List<Maker> sound = threeDomains();
-        List<Maker> oneSlow = List.of(sound.get(0).slow(2), sound.get(1), sound.get(2));
-        List<Maker> oneCut = List.of(sound.get(0), sound.get(1), sound.get(2).silent(6000, 12_000));
+        List<SimulatedEndpoint> sound = threeDomains();
+        List<SimulatedEndpoint> oneSlow = List.of(sound.get(0).slow(2), sound.get(1), sound.get(2));
+        List<SimulatedEndpoint> oneCut =
+                List.of(sound.get(0), sound.get(1), sound.get(2).silent(6000, 12_000));
         Burst urgent = new Burst("urgent", 2.5, 6000, 12_000);
         Burst flood = new Burst("bulk", 8, 6000, 12_000);
         return new Object[][] {
@@ -86,7 +91,8 @@
     }
 
     @Test(dataProvider = "loads")
-    public void underLoadMoreIsServedInTimeThanBefore(String load, Site site, PoolPolicies before, double leastGain) {
+    public void underLoadMoreIsServedInTimeThanBefore(
+            String load, PoolSetup site, PoolPolicies before, double leastGain) {
         double worthBefore = worth(site, before);
         double worthAfter = worth(site, PoolPolicies.STANDARD);
         String figures = load + ": worth " + worthBefore + " before, " + worthAfter + " after";
@@ -96,12 +102,12 @@
     /** Requests that wait until their time is over hold their caller, and the room of what was made for them. */
     @Test(dataProvider = "loads")
     public void whatCannotBeServedIsRefusedRatherThanHeld(
-            String load, Site site, PoolPolicies before, double leastGain) {
+            String load, PoolSetup site, PoolPolicies before, double leastGain) {
         int heldBefore = 0;
         int heldAfter = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            heldBefore += held(new PoolReplay(site, before, seed).play());
-            heldAfter += held(new PoolReplay(site, PoolPolicies.STANDARD, seed).play());
+            heldBefore += held(new PoolSimulation(site, before, seed).play());
+            heldAfter += held(new PoolSimulation(site, PoolPolicies.STANDARD, seed).play());
         }
         assertTrue(
                 heldAfter <= 10 + heldBefore / 3, load + ": held " + heldBefore + " before, " + heldAfter + " after");
@@ -109,13 +115,13 @@
 
     private static int held(Result result) {
         return result.kinds().values().stream()
-                .mapToInt(PoolReplay.Outcome::ended)
+                .mapToInt(PoolSimulation.Outcome::ended)
                 .sum();
     }
 
     @Test
     public void theUrgentKindGainsMostFromABurstOfItsOwn() {
-        Site site = site(threeDomains(), 0, new Burst("urgent", 2.5, 6000, 12_000));
+        PoolSetup site = site(threeDomains(), 0, new Burst("urgent", 2.5, 6000, 12_000));
         int before = urgentInTime(site, PoolPolicies.BASELINE);
         int after = urgentInTime(site, PoolPolicies.STANDARD);
         assertTrue(after >= 1.1 * before, "in time " + before + " before, " + after + " after");
@@ -125,14 +131,14 @@
     @Test
     public void theLargestRequestsAreServedNearlyAsOftenAsAllWhileRoomIsShort() {
         PoolSpec little = new PoolSpec(1, 2, 7, 200, 24, 6 * MB, 4000);
-        Kind heavy = new Kind("heavy", 0, 9, 4, 3 * MB / 2, 2000, 4.7);
-        Site site = new Site(little, threeDomains(), List.of(heavy), List.of(), 0, 20_000, 400);
+        RequestKind heavy = new RequestKind("heavy", 0, 9, 4, 3 * MB / 2, 2000, 4.7);
+        PoolSetup site = new PoolSetup(little, threeDomains(), List.of(heavy), List.of(), 0, 20_000, 400);
         double asked = 0;
         double inTime = 0;
         double largestAsked = 0;
         double largestInTime = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            PoolReplay.Outcome outcome = new PoolReplay(site, PoolPolicies.STANDARD, seed)
+            PoolSimulation.Outcome outcome = new PoolSimulation(site, PoolPolicies.STANDARD, seed)
                     .play()
                     .kinds()
                     .get("heavy");
@@ -145,29 +151,29 @@
         assertTrue(largestInTime / largestAsked >= 0.6 * inTime / asked, figures);
     }
 
-    private static Site drawn(SplittableRandom random) {
+    private static PoolSetup drawn(SplittableRandom random) {
         int batch = random.nextInt(4, 60);
         double baseMs = random.nextDouble(50, 400);
         PoolSpec spec = new PoolSpec(1, 2, batch, baseMs, baseMs * random.nextDouble(0.5, 1) / batch, 20 * MB, 4000);
-        List<Maker> makers = new ArrayList<>();
+        List<SimulatedEndpoint> makers = new ArrayList<>();
         int count = random.nextInt(2, 12);
         for (int i = 0; i < count; i++) {
-            Maker maker = Maker.sound("m" + i, "domain" + i % 3);
+            SimulatedEndpoint maker = SimulatedEndpoint.sound("m" + i, "domain" + i % 3);
             makers.add(random.nextInt(6) == 0 ? maker.slow(random.nextDouble(1, 4)) : maker);
         }
         double pieces = count * batch * 1000 / spec.callMs(batch) * random.nextDouble(0.2, 0.8);
-        List<Kind> kinds = new ArrayList<>();
+        List<RequestKind> kinds = new ArrayList<>();
         int kindCount = random.nextInt(1, 5);
         for (int i = 0; i < kindCount; i++) {
             int most = random.nextInt(1, Math.max(2, batch / 2));
             long targetMs = Math.round(spec.callMs(batch) * random.nextDouble(2.5, 8)) + 200;
             double perSecond = pieces / kindCount / ((1 + most) / 2.0);
             long bytes = Math.round(20.0 * MB / batch / random.nextDouble(1.5, 50));
-            kinds.add(new Kind("kind" + i, i, perSecond, most, bytes, targetMs, 4.0 / (1 + i)));
+            kinds.add(new RequestKind("kind" + i, i, perSecond, most, bytes, targetMs, 4.0 / (1 + i)));
         }
         Burst burst = new Burst("kind" + random.nextInt(kindCount), random.nextDouble(1, 4), 4000, 9000);
         double former = random.nextInt(4) == 0 ? random.nextDouble() : 0;
-        return new Site(spec, makers, kinds, List.of(burst), former, 10_000, random.nextLong(50, 300));
+        return new PoolSetup(spec, makers, kinds, List.of(burst), former, 10_000, random.nextLong(50, 300));
     }
 
     /** Policies that decisions are compared with on drawn pools, the loss that counts, and how many pools may have it. */
@@ -185,10 +191,10 @@
         double sumAfter = 0;
         List<String> worse = new ArrayList<>();
         for (int seed = 1; seed <= sites; seed++) {
-            Site site = drawn(new SplittableRandom(seed));
-            double before = new PoolReplay(site, earlier, seed).play().worth();
+            PoolSetup site = drawn(new SplittableRandom(seed));
+            double before = new PoolSimulation(site, earlier, seed).play().worth();
             double after =
-                    new PoolReplay(site, PoolPolicies.STANDARD, seed).play().worth();
+                    new PoolSimulation(site, PoolPolicies.STANDARD, seed).play().worth();
             sumBefore += before;
             sumAfter += after;
             if (after < before - countsFrom) {
--- a/relay/src/test/java/org/wingstall/relay/pool/RendezvousGatheringTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/RendezvousCoordinatorSelectorTest.java
@@ -8,12 +8,13 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-public class RendezvousGatheringTest {
+public class RendezvousCoordinatorSelectorTest {
     private static final List<String> BOXES = List.of("a", "b", "c", "hub-1", "hub-2");
     private static final Set<String> HUBS = Set.of("hub-1", "hub-2");
 
     private static String gatherer(String self, List<String> heard, Set<String> linked) {
-        return new RendezvousGathering(self, () -> heard, linked::contains, HUBS::contains).gathererOf("pay-ledger");
+        return new RendezvousCoordinatorSelector(self, () -> heard, linked::contains, HUBS::contains)
+                .coordinatorOf("pay-ledger");
     }
 
     private static List<String> without(String box) {
--- a/relay/src/test/java/org/wingstall/relay/pool/WholeGroupsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/WholeGroupPlannerTest.java
@@ -8,23 +8,23 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.wingstall.relay.config.PoolSpec;
-import org.wingstall.relay.pool.CallPlanner.Maker;
+import org.wingstall.relay.pool.CallPlanner.EndpointCapacity;
 import org.wingstall.relay.pool.CallPlanner.Part;
 import org.wingstall.relay.pool.CallPlanner.PlannedCall;
 
 /** What a call carries and where it goes. */
-public class WholeGroupsTest {
+public class WholeGroupPlannerTest {
     private static final long NOW_MS = 50;
     private static final PoolSpec SPEC = new PoolSpec(1, 2, 7, 200, 24, 100, 4000);
 
-    private final CallPlanner planner = new WholeGroups();
+    private final CallPlanner planner = new WholeGroupPlanner();
 
-    private static Maker maker(String id, String domain, int freeSlots, double freeBytes) {
-        return new Maker(id, domain, freeSlots, freeBytes, 0);
+    private static EndpointCapacity maker(String id, String domain, int freeSlots, double freeBytes) {
+        return new EndpointCapacity(id, domain, freeSlots, freeBytes, 0);
     }
 
-    private Optional<PlannedCall> next(List<PieceGroup> groups, Maker... makers) {
-        return planner.next(groups, List.of(makers), SPEC, NOW_MS);
+    private Optional<PlannedCall> next(List<PieceGroup> groups, EndpointCapacity... makers) {
+        return planner.planNext(groups, List.of(makers), SPEC, NOW_MS);
     }
 
     private static List<Integer> sizes(PlannedCall call) {
@@ -49,7 +49,7 @@
         PieceGroup suspect = PieceGroups.suspected(1, 2000, 2);
         PieceGroup other = PieceGroups.group(1, 2000, 3);
         PieceGroup further = PieceGroups.group(1, 2000, 1);
-        Maker maker = maker("a", "east", 1, 100);
+        EndpointCapacity maker = maker("a", "east", 1, 100);
         assertEquals(sizes(next(List.of(suspect, other, further), maker).orElseThrow()), List.of(2));
         assertEquals(sizes(next(List.of(other, suspect, further), maker).orElseThrow()), List.of(3, 1));
     }
@@ -82,14 +82,14 @@
     @Test(dataProvider = "hurries")
     public void aGroupWaitsForANearEndpointWhileItHasTime(long targetAtMs, String expected) {
         PieceGroup group = PieceGroups.group(1, targetAtMs, 2, 1, "east");
-        Maker far = maker("far", "west", 1, 100);
-        Maker near = maker("near", "east", 1, 100);
-        Maker busy = maker("near", "east", 0, 100);
+        EndpointCapacity far = maker("far", "west", 1, 100);
+        EndpointCapacity near = maker("near", "east", 1, 100);
+        EndpointCapacity busy = maker("near", "east", 0, 100);
         assertEquals(
                 next(List.of(group), far, busy)
-                        .map(call -> call.maker().endpointId())
+                        .map(call -> call.endpoint().endpointId())
                         .orElse(""),
                 expected);
-        assertEquals(next(List.of(group), far, near).orElseThrow().maker().endpointId(), "near");
+        assertEquals(next(List.of(group), far, near).orElseThrow().endpoint().endpointId(), "near");
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/run/EventTailTest.java
+++ b/relay/src/test/java/org/wingstall/relay/run/EventStreamBufferTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Only whole events are passed on, however the bytes come. */
-public class EventTailTest {
+public class EventStreamBufferTest {
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: brok";
 
     @DataProvider
@@ -20,16 +20,16 @@
 
     @Test(dataProvider = "cuts")
     public void aBrokenEventIsHeldBackAndTheLastWholeOneIsKnown(int bytesAtOnce) {
-        EventTail tail = new EventTail();
+        EventStreamBuffer tail = new EventStreamBuffer();
         StringBuilder passed = new StringBuilder();
         for (int at = 0; at < STREAM.length(); at += bytesAtOnce) {
             String part = STREAM.substring(at, Math.min(STREAM.length(), at + bytesAtOnce));
             passed.append(new String(tail.add(Unpooled.copiedBuffer(part, StandardCharsets.UTF_8))));
         }
         assertEquals(passed.toString(), STREAM.substring(0, STREAM.indexOf("id: 3")));
-        assertEquals(tail.lastId(), "2");
-        assertTrue(tail.midEvent());
-        tail.dropRest();
-        assertFalse(tail.midEvent());
+        assertEquals(tail.lastEventId(), "2");
+        assertTrue(tail.hasPartialEvent());
+        tail.discardPartialEvent();
+        assertFalse(tail.hasPartialEvent());
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/run/ServiceBudgetsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/run/ServiceRetryBudgetsTest.java
@@ -7,7 +7,7 @@
 import org.wingstall.core.retry.RetryBudget;
 
 /** All boxes together stay within the fleet's retry budget without a word between them. */
-public class ServiceBudgetsTest {
+public class ServiceRetryBudgetsTest {
     private static final double RATIO = 0.2;
     private static final int EXTRA = 58;
     private static final int REQUESTS_OF_A_BOX = 40;
@@ -20,7 +20,7 @@
     private static int retries(RetryBudget budget) {
         int retries = 0;
         for (int i = 0; i < REQUESTS_OF_A_BOX; i++) {
-            budget.called();
+            budget.recordCall();
             while (budget.tryRetry()) {
                 retries++;
             }
@@ -32,7 +32,8 @@
     public void everyBoxRetryingWhatItCanStaysWithinTheFleetsBudget(int boxes) {
         int retries = 0;
         for (int i = 0; i < boxes; i++) {
-            retries += retries(new ServiceBudgets(new ServiceBudgets.Part(RATIO, EXTRA, boxes)).of("plain"));
+            retries += retries(
+                    new ServiceRetryBudgets(new ServiceRetryBudgets.FleetBudget(RATIO, EXTRA, boxes)).of("plain"));
         }
         double allowed = RATIO * boxes * REQUESTS_OF_A_BOX + EXTRA;
         assertTrue(retries <= allowed, retries + " of " + allowed);
--- a/table/src/main/java/org/wingstall/table/ConfigEditor.java
+++ b/table/src/main/java/org/wingstall/table/ConfigEditor.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import org.wingstall.core.config.ConfigKey;
-import org.wingstall.core.config.ConfigRows;
+import org.wingstall.core.config.ConfigRowValidator;
 import org.wingstall.core.config.InvalidRowException;
 import org.wingstall.schema.check.Json;
 import org.wingstall.schema.platform.Condition;
@@ -130,7 +130,7 @@
             throws InvalidRowException, PlatformException, InterruptedException {
         for (ConfigCell cell : cells) {
             if (cell.getValue() != null) {
-                ConfigRows.read(ConfigKey.parse(cell.getKey()), cell.getValue());
+                ConfigRowValidator.validate(ConfigKey.parse(cell.getKey()), cell.getValue());
             }
         }
         Map<String, JsonNode> all = new HashMap<>();
@@ -140,7 +140,7 @@
         for (ConfigCell cell : cells) {
             all.put(cell.getKey(), cell.getValue());
         }
-        ConfigRows.checkAcross(all);
+        ConfigRowValidator.validateConsistency(all);
     }
 
     private static Transaction transactionOf(
