--- a/gateway/src/main/java/org/wingstall/gateway/claim/ClaimOutcome.java
+++ b/gateway/src/main/java/org/wingstall/gateway/claim/ClaimOutcome.java
@@ -6,7 +6,7 @@
 /**
  * What an attempt got when it asked for its key.
  *
- * <p>{@code if (outcome instanceof ClaimOutcome.StoredResult held) { run(held.claim()); }}
+ * <p>{@code if (outcome instanceof ClaimOutcome.Held held) { run(held.claim()); }}
  *
  * @since 0.1
  */
--- a/gateway/src/main/java/org/wingstall/gateway/relay/PlannedStop.java
+++ b/gateway/src/main/java/org/wingstall/gateway/relay/PlannedStop.java
@@ -20,7 +20,7 @@
 final class PlannedStop {
     private static final Logger LOG = LogManager.getLogger(PlannedStop.class);
 
-    /** FleetBudget of the grace that is left unused, for the end of the process itself, in ms. */
+    /** Part of the grace that is left unused, for the end of the process itself, in ms. */
     private static final long MARGIN_MS = 500;
 
     /** Pause between two looks at what is in flight, in ms. */
--- a/gateway/src/main/java/org/wingstall/gateway/run/StageRun.java
+++ b/gateway/src/main/java/org/wingstall/gateway/run/StageRun.java
@@ -350,7 +350,7 @@
         return calls(endpoint) || excluded.contains(endpoint.identity().memberId());
     }
 
-    /** Delegation for every candidate of every call; a loop over nothing costs nothing. */
+    /** Asked for every candidate of every call; a loop over nothing costs nothing. */
     private boolean calls(EndpointState endpoint) {
         for (StageAttempt attempt : live) {
             if (attempt.endpoint() == endpoint) {
--- a/net/src/main/java/org/wingstall/net/PeriodicTask.java
+++ b/net/src/main/java/org/wingstall/net/PeriodicTask.java
@@ -8,7 +8,7 @@
 import org.wingstall.net.log.LogEvent;
 
 /**
- * PendingRequest that an event loop repeats for as long as the process lives; a run that fails does not end it, unlike with the
+ * Work that an event loop repeats for as long as the process lives; a run that fails does not end it, unlike with the
  * executors' own periodic schedules.
  *
  * <p>{@code PeriodicTask.start(loop, "probe", () -> 1000, this::probeEjected);}
--- a/standin/src/main/java/org/wingstall/standin/fleet/CrashingEndpoint.java
+++ b/standin/src/main/java/org/wingstall/standin/fleet/CrashingEndpoint.java
@@ -19,7 +19,7 @@
  * Stands in for an endpoint that a request can crash: whatever it runs ends with it, and it comes back at the same address as
  * another incarnation.
  *
- * <p>{@code new CrashingEndpoint(fleet, log, new CrashingEndpoint.RequestKind("engine", "east", "e1", 5)).start();}
+ * <p>{@code new CrashingEndpoint(fleet, log, new CrashingEndpoint.Kind("engine", "east", "e1", 5)).start();}
  *
  * @since 0.7
  */
--- a/table/src/main/java/org/wingstall/table/PlatformException.java
+++ b/table/src/main/java/org/wingstall/table/PlatformException.java
@@ -3,7 +3,7 @@
 /**
  * Tells that the platform gave no usable answer.
  *
- * <p>{@code if (failure.kind() == PlatformException.RequestKind.UNANSWERED) { readBack(); }}
+ * <p>{@code if (failure.kind() == PlatformException.Kind.UNANSWERED) { readBack(); }}
  *
  * @since 0.1
  */
