--- a/core/src/main/java/org/wingstall/core/config/ConfigKey.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigKey.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Key of a configuration row: its kind and its name.
+ * Identifies a configuration row by its kind and its name.
  *
  * <p>{@code ConfigKey.parse("pipeline/menu-plan").name()} is {@code "menu-plan"}.
  *
@@ -19,9 +19,9 @@
         PIPELINE("pipeline"),
         /** A workspace. */
         WORKSPACE("workspace"),
-        /** A class of endpoint boxes. */
+        /** A class of boxes that run endpoints. */
         BOX_CLASS("box-class"),
-        /** What the model engines of a service are to have loaded. */
+        /** The model and adapters that the engines of a service should have loaded. */
         ENGINE("engine");
 
         private final String prefix;
@@ -30,18 +30,18 @@
             this.prefix = prefix;
         }
 
-        /** Returns the first part of the kind's keys. */
+        /** Returns the prefix of keys of this kind, without the slash. */
         public String prefix() {
             return prefix;
         }
     }
 
     /**
-     * Reads a key.
+     * Parses a key.
      *
      * @param text key such as {@code pipeline/menu-plan}
      * @return the key
-     * @throws InvalidRowException if the text is no key
+     * @throws InvalidRowException if the text is not a valid key
      */
     public static ConfigKey parse(String text) throws InvalidRowException {
         int slash = text.indexOf('/');
--- a/core/src/main/java/org/wingstall/core/config/ConfigRowValidator.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigRowValidator.java
@@ -15,9 +15,9 @@
 import org.wingstall.schema.table.WorkspaceRow;
 
 /**
- * Checks configuration rows, each against its schema and against its key.
+ * Validates configuration rows against their schemas and their keys.
  *
- * <p>{@code PipelineRow row = (PipelineRow) ConfigRowValidator.read(ConfigKey.parse("pipeline/menu-plan"), tree);}
+ * <p>{@code PipelineRow row = (PipelineRow) ConfigRowValidator.validate(ConfigKey.parse("pipeline/menu-plan"), tree);}
  *
  * @since 0.1
  */
@@ -25,23 +25,23 @@
     private ConfigRowValidator() {}
 
     /**
-     * Checks a row.
+     * Validates a row against its schema and its key.
      *
      * @param key key of the row
-     * @param value the row's tree
-     * @return the row, of the class that belongs to the key's kind
+     * @param value the row as a JSON tree
+     * @return the row, as an instance of the generated class for the key's kind
      * @throws InvalidRowException if the row is not valid
      */
     public static Object validate(ConfigKey key, JsonNode value) throws InvalidRowException {
         try {
             return switch (key.kind()) {
                 case PIPELINE ->
-                    checkPipeline(key, SchemaCheck.of(PipelineRow.class).read(value));
+                    validatePipeline(key, SchemaCheck.of(PipelineRow.class).read(value));
                 case WORKSPACE ->
-                    checkName(key, SchemaCheck.of(WorkspaceRow.class).read(value), value);
+                    validateName(key, SchemaCheck.of(WorkspaceRow.class).read(value), value);
                 case BOX_CLASS ->
-                    checkName(key, SchemaCheck.of(BoxClassRow.class).read(value), value);
-                case ENGINE -> checkName(key, SchemaCheck.of(EngineRow.class).read(value), value);
+                    validateName(key, SchemaCheck.of(BoxClassRow.class).read(value), value);
+                case ENGINE -> validateName(key, SchemaCheck.of(EngineRow.class).read(value), value);
             };
         } catch (InvalidDocumentException e) {
             throw new InvalidRowException(key.toString(), e.key(), e.value(), e.valid());
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Checks rows against each other: all stages of a service must agree on its kind.
+     * Validates that rows are consistent with each other: all stages that use a service must declare the same kind.
      *
-     * @param rows every row by its key; null values are passed over
-     * @throws InvalidRowException if two rows contradict each other
+     * @param rows all rows by key; null values are ignored
+     * @throws InvalidRowException if two rows are inconsistent
      */
     public static void validateConsistency(Map<String, JsonNode> rows) throws InvalidRowException {
         Map<String, StageRow> byService = new HashMap<>();
@@ -60,12 +60,12 @@
             ConfigKey key = ConfigKey.parse(entry.getKey());
             boolean present = entry.getValue() != null && !entry.getValue().isNull();
             if (key.kind() == ConfigKey.Kind.PIPELINE && present) {
-                checkServices(key, (PipelineRow) validate(key, entry.getValue()), byService);
+                validateServiceKinds(key, (PipelineRow) validate(key, entry.getValue()), byService);
             }
         }
     }
 
-    private static void checkServices(ConfigKey key, PipelineRow row, Map<String, StageRow> byService)
+    private static void validateServiceKinds(ConfigKey key, PipelineRow row, Map<String, StageRow> byService)
             throws InvalidRowException {
         for (StageRow stage : row.getStages()) {
             StageRow other = byService.putIfAbsent(stage.getService(), stage);
@@ -77,7 +77,7 @@
         }
     }
 
-    private static Object checkName(ConfigKey key, Object row, JsonNode value) throws InvalidRowException {
+    private static Object validateName(ConfigKey key, Object row, JsonNode value) throws InvalidRowException {
         String name = value.path("name").asText();
         if (!name.equals(key.name())) {
             throw new InvalidRowException(key.toString(), "name", name, "the key's name, " + key.name());
@@ -85,7 +85,7 @@
         return row;
     }
 
-    private static PipelineRow checkPipeline(ConfigKey key, PipelineRow row) throws InvalidRowException {
+    private static PipelineRow validatePipeline(ConfigKey key, PipelineRow row) throws InvalidRowException {
         if (!row.getName().equals(key.name())) {
             throw new InvalidRowException(key.toString(), "name", row.getName(), "the key's name, " + key.name());
         }
--- a/core/src/main/java/org/wingstall/core/config/ConfigSnapshot.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigSnapshot.java
@@ -13,14 +13,14 @@
 import org.wingstall.schema.table.WorkspaceRow;
 
 /**
- * An immutable configuration at one revision.
+ * Holds an immutable configuration at one revision.
  *
  * <p>{@code PipelineRow row = snapshot.pipeline("menu-plan").orElseThrow();}
  *
  * @since 0.1
  */
 public final class ConfigSnapshot {
-    /** The configuration of a gateway that has heard of none. */
+    /** The empty configuration of a gateway that has not received one yet. */
     public static final ConfigSnapshot EMPTY = new ConfigSnapshot(0, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
 
     private final long revision;
@@ -45,22 +45,22 @@
         this.engines = engines;
     }
 
-    /** Returns the revision; 0 when there is no configuration. */
+    /** Returns the revision; 0 if there is no configuration. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the pipeline of a name. */
+    /** Returns the pipeline with the given name. */
     public Optional<PipelineRow> pipeline(String name) {
         return Optional.ofNullable(pipelines.get(name));
     }
 
-    /** Returns the workspace of a name. */
+    /** Returns the workspace with the given name. */
     public Optional<WorkspaceRow> workspace(String name) {
         return Optional.ofNullable(workspaces.get(name));
     }
 
-    /** Returns the box class of a name. */
+    /** Returns the box class with the given name. */
     public Optional<BoxClassRow> boxClass(String name) {
         return Optional.ofNullable(boxClasses.get(name));
     }
@@ -75,12 +75,12 @@
         return workspaces;
     }
 
-    /** Returns what engines are to have loaded, by service. */
+    /** Returns the models and adapters that engines should have loaded, by service. */
     public Map<String, EngineRow> engines() {
         return engines;
     }
 
-    /** Returns every row in the order of the keys. */
+    /** Returns all rows, ordered by key. */
     public List<ConfigCell> cells() {
         return new TreeMap<>(cells)
                 .entrySet().stream()
@@ -89,13 +89,13 @@
     }
 
     /**
-     * Returns this configuration with some rows replaced.
+     * Returns a copy of this configuration with some rows replaced.
      *
-     * <p>A row that breaks its schema keeps its last good value and is handed to the listener.
+     * <p>A row that violates its schema keeps its last valid value and is reported to the listener.
      *
      * @param newRevision revision of the result
-     * @param changed rows as they now stand; a null value removes the row
-     * @param rejected told of each row that was left as it was
+     * @param changed new values of the changed rows; a null value removes the row
+     * @param rejectedRowListener notified of each invalid row, which keeps its previous value
      * @return the new configuration
      */
     public ConfigSnapshot withChanges(
@@ -111,10 +111,10 @@
         return builder.build();
     }
 
-    /** Told of rows that a gateway left as they were. */
+    /** Listener for invalid rows that were not applied. */
     @FunctionalInterface
     public interface RejectedRowListener {
-        /** Takes the failure of one row. */
+        /** Called when a row is invalid and keeps its previous value. */
         void onRejected(InvalidRowException failure);
     }
 
--- a/core/src/main/java/org/wingstall/core/config/ConfigStore.java
+++ b/core/src/main/java/org/wingstall/core/config/ConfigStore.java
@@ -8,7 +8,7 @@
 import org.wingstall.schema.table.ConfigChange;
 
 /**
- * Holds the configuration in force; readers see an immutable snapshot that is swapped, and a revision never goes down.
+ * Holds the current configuration as an immutable snapshot that is replaced atomically; its revision never decreases.
  *
  * <p>{@code store.offerDelta(changes); PipelineRow row = store.current().pipeline("menu-plan").orElseThrow();}
  *
@@ -23,24 +23,24 @@
     private record State(ConfigSnapshot snapshot, List<ConfigChange> recentChanges) {}
 
     /**
-     * Creates a store with no configuration.
+     * Creates an empty store.
      *
-     * @param rejected told of rows that are not valid and were left as they were
+     * @param rejectedRowListener notified of invalid rows, which keep their previous values
      */
     public ConfigStore(ConfigSnapshot.RejectedRowListener rejectedRowListener) {
         this.rejectedRowListener = rejectedRowListener;
     }
 
-    /** Returns the configuration in force. */
+    /** Returns the current configuration. */
     public ConfigSnapshot current() {
         return state.get().snapshot();
     }
 
     /**
-     * Applies changes that follow on the revision in force; older ones are passed over.
+     * Applies changes that directly follow the current revision; older ones are ignored.
      *
-     * @param changes changes in the order of their revisions
-     * @return false if a revision is missing between the one in force and the first newer change
+     * @param changes changes, ordered by revision
+     * @return false if a revision is missing between the current one and the first newer change
      */
     public synchronized boolean offerDelta(List<ConfigChange> changes) {
         for (ConfigChange change : changes) {
@@ -57,11 +57,11 @@
     }
 
     /**
-     * Replaces the whole configuration if the offered one is newer.
+     * Replaces the whole configuration if the given one is newer.
      *
-     * @param revision revision of the cells
-     * @param cells every row
-     * @return whether the offered configuration is now in force
+     * @param revision revision of the rows
+     * @param cells all rows
+     * @return whether the given configuration was applied
      */
     public synchronized boolean offerComplete(long revision, List<ConfigCell> cells) {
         if (revision <= current().revision()) {
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Returns what a reader at a revision lacks, if it is still remembered change by change.
+     * Returns the rows changed since a revision, if the changes since then are still retained.
      *
      * @param revision the reader's revision
-     * @return the changed rows, or empty when only the whole configuration will do
+     * @return the changed rows, or empty if the reader needs the whole configuration
      */
     public Optional<List<ConfigCell>> cellsAfter(long revision) {
         State current = state.get();
@@ -94,19 +94,19 @@
     }
 
     /**
-     * Applies a peer's delta from the revision in force to the peer's own.
+     * Applies a delta from a peer that leads from the current revision to the peer's revision.
      *
      * @param fromRevision revision that the delta starts after
      * @param toRevision the peer's revision
      * @param cells the changed rows
-     * @return whether the delta is now in force
+     * @return whether the delta was applied
      */
     public synchronized boolean offerPeerDelta(long fromRevision, long toRevision, List<ConfigCell> cells) {
-        ConfigSnapshot now = current();
-        if (now.revision() != fromRevision || toRevision <= fromRevision) {
+        ConfigSnapshot current = current();
+        if (current.revision() != fromRevision || toRevision <= fromRevision) {
             return false;
         }
-        state.set(new State(now.withChanges(toRevision, cells, rejectedRowListener), List.of()));
+        state.set(new State(current.withChanges(toRevision, cells, rejectedRowListener), List.of()));
         return true;
     }
 
--- a/core/src/test/java/org/wingstall/core/config/ConfigStoreTest.java
+++ b/core/src/test/java/org/wingstall/core/config/ConfigStoreTest.java
@@ -22,62 +22,62 @@
     private ConfigStore store;
 
     @BeforeMethod
-    public void freshStore() {
+    public void createStore() {
         rejected.clear();
         store = new ConfigStore(rejected::add);
     }
 
-    private static ConfigCell weight(double weight) {
+    private static ConfigCell workspaceWithWeight(double weight) {
         return new ConfigCell(
                 "workspace/w", Json.MAPPER.createObjectNode().put("name", "w").put("weight", weight));
     }
 
     private static ConfigChange change(long revision, double weight) {
-        return new ConfigChange(revision, "e" + revision, "ann", 0, List.of(weight(weight)));
+        return new ConfigChange(revision, "e" + revision, "ann", 0, List.of(workspaceWithWeight(weight)));
     }
 
-    private double weightInForce() {
+    private double currentWeight() {
         return store.current().workspace("w").orElseThrow().getWeight();
     }
 
     @Test
-    public void changesApplyInOrderAndOldOnesArePassedOver() {
+    public void appliesChangesInOrderAndIgnoresOldOnes() {
         assertTrue(store.offerDelta(List.of(change(1, 1), change(2, 2))));
         assertTrue(store.offerDelta(List.of(change(1, 9), change(2, 9), change(3, 3))));
         assertEquals(store.current().revision(), 3);
-        assertEquals(weightInForce(), 3.0);
+        assertEquals(currentWeight(), 3.0);
     }
 
     @Test
-    public void aGapIsNotApplied() {
+    public void doesNotApplyChangeAfterMissingRevision() {
         store.offerDelta(List.of(change(1, 1)));
         assertFalse(store.offerDelta(List.of(change(3, 3))));
         assertEquals(store.current().revision(), 1);
     }
 
     @Test
-    public void aLowerOrEqualRevisionIsNeverApplied() {
-        store.offerComplete(5, List.of(weight(5)));
-        assertFalse(store.offerComplete(4, List.of(weight(4))));
-        assertFalse(store.offerComplete(5, List.of(weight(4))));
-        assertFalse(store.offerPeerDelta(5, 5, List.of(weight(4))));
-        assertFalse(store.offerPeerDelta(4, 6, List.of(weight(4))));
-        assertEquals(weightInForce(), 5.0);
+    public void doesNotApplyLowerOrEqualRevision() {
+        store.offerComplete(5, List.of(workspaceWithWeight(5)));
+        assertFalse(store.offerComplete(4, List.of(workspaceWithWeight(4))));
+        assertFalse(store.offerComplete(5, List.of(workspaceWithWeight(4))));
+        assertFalse(store.offerPeerDelta(5, 5, List.of(workspaceWithWeight(4))));
+        assertFalse(store.offerPeerDelta(4, 6, List.of(workspaceWithWeight(4))));
+        assertEquals(currentWeight(), 5.0);
     }
 
     @Test
-    public void aBrokenRowKeepsItsLastGoodValueAndIsReported() {
+    public void invalidRowKeepsLastValidValueAndIsReported() {
         store.offerDelta(List.of(change(1, 1), change(2, -7)));
         assertEquals(store.current().revision(), 2);
-        assertEquals(weightInForce(), 1.0);
+        assertEquals(currentWeight(), 1.0);
         assertEquals(rejected.get(0).getMessage(), "workspace/w: weight: '-7.0' is not valid; valid: at least 0.001");
     }
 
     @Test
-    public void aPeerBehindGetsWhatItLacks() {
+    public void returnsRowsChangedSinceRevision() {
         store.offerDelta(List.of(change(1, 1), change(2, 2), change(3, 3)));
         assertEquals(store.cellsAfter(1).orElseThrow().size(), 2);
-        store.offerComplete(9, List.of(weight(9)));
+        store.offerComplete(9, List.of(workspaceWithWeight(9)));
         assertTrue(store.cellsAfter(3).isEmpty());
     }
 
@@ -97,7 +97,7 @@
     }
 
     @Test(dataProvider = "brokenPipelines")
-    public void aBrokenPipelineIsRefusedWithWhatIsValid(String yaml, String valid) throws InvalidDocumentException {
+    public void errorForInvalidPipelineNamesValidValues(String yaml, String valid) throws InvalidDocumentException {
         JsonNode row = Json.readYaml(yaml);
         InvalidRowException e = expectThrows(
                 InvalidRowException.class, () -> ConfigRowValidator.validate(ConfigKey.parse("pipeline/p"), row));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    public void stagesOfAServiceMustAgreeOnItsKind() throws InvalidDocumentException {
+    public void rejectsDifferentKindsForOneService() throws InvalidDocumentException {
         JsonNode one = Json.readYaml("{name: p, deadlineMs: 100, stages: [{name: a, service: s, kind: pool}]}");
         JsonNode two = Json.readYaml("{name: q, deadlineMs: 100, stages: [{name: a, service: s, kind: plain}]}");
         expectThrows(
