--- a/core/src/main/java/org/wingstall/core/engine/EngineOrderPlanner.java
+++ b/core/src/main/java/org/wingstall/core/engine/EngineOrderPlanner.java
@@ -9,13 +9,13 @@
 import org.wingstall.schema.table.EngineRow;
 
 /**
- * Decides which engines of a service get an order now and which are asked for their state.
+ * Decides which engines of a service receive a load order now and which are queried for their state.
  *
- * <p>An engine takes no calls while it loads, so only a few do at once, those with the least work in flight first. An
- * engine whose last order is unanswered counts as loading. An engine that has what is wanted is asked again only now and
- * then: a late order of an earlier holder may have changed it.
+ * <p>An engine accepts no calls while it loads, so only a few load at once, starting with those that have the fewest
+ * calls in flight. An engine that has not responded to its last order counts as loading. An engine that has reached its
+ * target is still queried periodically, because a late order from a previous lease holder may have changed it.
  *
- * <p>{@code plan.toOrder(row, views, inFlight); plan.toAsk(row, views, nowMs);}
+ * <p>{@code planner.enginesToOrder(row, views, inFlight); planner.enginesToQuery(row, views, nowMs);}
  *
  * @since 0.1
  */
@@ -24,17 +24,17 @@
     private final long refreshIntervalMs;
 
     /**
-     * Creates a plan.
+     * Creates a planner.
      *
-     * @param asksAtOnce most engines asked at once that have what is wanted
-     * @param calmMs time after which such an engine is asked again, in ms
+     * @param maxRefreshQueries maximum number of engines that have reached their target to query at once
+     * @param refreshIntervalMs time after which such an engine is queried again, in ms
      */
-    public EngineOrderPlanner(int asksAtOnce, long calmMs) {
-        this.maxRefreshQueries = asksAtOnce;
-        this.refreshIntervalMs = calmMs;
+    public EngineOrderPlanner(int maxRefreshQueries, long refreshIntervalMs) {
+        this.maxRefreshQueries = maxRefreshQueries;
+        this.refreshIntervalMs = refreshIntervalMs;
     }
 
-    /** Returns what a row wants. */
+    /** Returns the target that a configuration row specifies. */
     public static EngineTarget target(EngineRow row) {
         List<String> adapters = row.getAdapters().stream().sorted().toList();
         return new EngineTarget(
@@ -45,12 +45,12 @@
     }
 
     /**
-     * Returns the engines that get an order now.
+     * Returns the engines to send an order to now.
      *
-     * @param row what the operators want
-     * @param views engines of the service
-     * @param inFlight calls in flight at an engine
-     * @return engines, in the order in which they get it
+     * @param row configuration of the service's engines
+     * @param views views of the service's engines
+     * @param inFlight returns the number of calls in flight at an engine
+     * @return engines to order, in the sequence in which orders are sent
      */
     public List<EngineView> enginesToOrder(
             EngineRow row, Collection<EngineView> views, ToIntFunction<EngineView> inFlight) {
@@ -64,12 +64,12 @@
     }
 
     /**
-     * Returns the engines that are asked for their state now.
+     * Returns the engines to query for their state now.
      *
-     * @param row what the operators want
-     * @param views engines of the service
-     * @param nowMs time of the monotonic clock, in ms
-     * @return engines
+     * @param row configuration of the service's engines
+     * @param views views of the service's engines
+     * @param nowMs current time of the monotonic clock, in ms
+     * @return engines to query
      */
     public List<EngineView> enginesToQuery(EngineRow row, Collection<EngineView> views, long nowMs) {
         EngineTarget target = target(row);
@@ -78,11 +78,11 @@
         for (EngineView view : views) {
             if (view.mayBeLoading() || view.state() == null) {
                 queried.add(view);
-            } else if (view.hasReached(target) && nowMs - view.answeredAtMs() >= refreshIntervalMs) {
+            } else if (view.hasReached(target) && nowMs - view.respondedAtMs() >= refreshIntervalMs) {
                 dueForRefresh.add(view);
             }
         }
-        dueForRefresh.sort(Comparator.comparingLong(EngineView::answeredAtMs));
+        dueForRefresh.sort(Comparator.comparingLong(EngineView::respondedAtMs));
         queried.addAll(dueForRefresh.subList(0, Math.min(maxRefreshQueries, dueForRefresh.size())));
         return queried;
     }
--- a/core/src/main/java/org/wingstall/core/engine/EngineView.java
+++ b/core/src/main/java/org/wingstall/core/engine/EngineView.java
@@ -4,32 +4,33 @@
 import org.wingstall.schema.endpoint.EngineTarget;
 
 /**
- * What the holder of the lease last heard of one engine.
+ * Holds the last state that an engine reported to the holder of the lease.
  *
- * <p>{@code EngineView view = EngineView.unknown("llm-0", 1).heard(state, nowMs);}
+ * <p>{@code EngineView view = EngineView.unknown("llm-0", 1).withState(state, sentAtMs, nowMs);}
  *
- * @param memberId the engine
- * @param incarnation its incarnation
- * @param state what it said last; null when it has not answered this holder
- * @param heardAtMs when it said so, in ms of the monotonic clock
- * @param orderedAtMs when an order was last sent there, in ms of the monotonic clock
+ * @param memberId identifier of the engine in the membership list
+ * @param incarnation incarnation of the engine
+ * @param state last reported state; null if the engine has not responded to this holder
+ * @param respondedAtMs when that state was received, in ms of the monotonic clock
+ * @param orderedAtMs when an order was last sent to the engine, in ms of the monotonic clock
  * @since 0.1
  */
-public record EngineView(String memberId, long incarnation, EngineState state, long answeredAtMs, long orderedAtMs) {
+public record EngineView(String memberId, long incarnation, EngineState state, long respondedAtMs, long orderedAtMs) {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Returns the view of an engine that has not answered yet. */
+    /** Returns the view of an engine that has not responded yet. */
     public static EngineView unknown(String memberId, long incarnation) {
         return new EngineView(memberId, incarnation, null, NEVER, NEVER);
     }
 
     /**
-     * Returns this view after an answer of the engine; one to a question from before the last order says nothing new.
+     * Returns this view updated with a response from the engine. The response is ignored if its request was sent before
+     * the last order, since it does not reflect that order.
      *
-     * @param newState what the engine says
-     * @param sentAtMs when it was asked or ordered, in ms of the monotonic clock
-     * @param nowMs time of the monotonic clock, in ms
-     * @return the view
+     * @param newState reported state
+     * @param sentAtMs when the query or order that the engine responds to was sent, in ms of the monotonic clock
+     * @param nowMs current time of the monotonic clock, in ms
+     * @return the updated view
      */
     public EngineView withState(EngineState newState, long sentAtMs, long nowMs) {
         if (sentAtMs < orderedAtMs) {
@@ -38,18 +39,18 @@
         return new EngineView(memberId, incarnation, newState, nowMs, orderedAtMs);
     }
 
-    /** Returns this view after an order was sent. */
+    /** Returns this view with an order recorded as sent now. */
     public EngineView withOrderSent(long nowMs) {
-        return new EngineView(memberId, incarnation, state, answeredAtMs, nowMs);
+        return new EngineView(memberId, incarnation, state, respondedAtMs, nowMs);
     }
 
-    /** Returns whether the engine has what is wanted. */
+    /** Returns whether the engine has loaded the target and is not loading. */
     public boolean hasReached(EngineTarget target) {
         return state != null && !state.isLoading() && target.equals(state.getLoaded());
     }
 
-    /** Returns whether the engine may be busy with an order: it says so, or one was sent after it last spoke. */
+    /** Returns whether the engine may be loading: it reported so, or an order was sent after its last response. */
     public boolean mayBeLoading() {
-        return state != null && state.isLoading() || orderedAtMs > answeredAtMs;
+        return state != null && state.isLoading() || orderedAtMs > respondedAtMs;
     }
 }
