--- a/core/src/main/java/org/wingstall/core/estimate/OnlineLinearRegression.java
+++ b/core/src/main/java/org/wingstall/core/estimate/OnlineLinearRegression.java
@@ -1,21 +1,21 @@
 package org.wingstall.core.estimate;
 
 /**
- * Learns how a time grows with a size, from pairs of both: a straight line through the recent ones. Not safe for use on
- * several threads.
+ * Estimates a duration as a linear function of a size from recent observations. Not thread-safe.
  *
- * <p>{@code OnlineLinearRegression trend = new OnlineLinearRegression(60, 0.02, 4000); trend.observed(2500, 130); trend.at(1000)}
+ * <p>{@code OnlineLinearRegression regression = new OnlineLinearRegression(60, 0.02, 4000);}
+ * {@code regression.observe(2500, 130); double expectedMs = regression.predict(1000);}
  *
  * @since 0.5
  */
 public final class OnlineLinearRegression {
-    /** Weight that an observation keeps with each later one: the last hundred or so count. */
+    /** Factor by which each new observation reduces the weight of older ones; about the last 100 observations count. */
     private static final double DECAY = 0.99;
 
-    /** Observations that each end of the line assumed at first counts as; a handful of real ones outweighs it. */
+    /** Weight of each of the two points of the prior, in observations; a handful of real observations outweighs it. */
     private static final double PRIOR_WEIGHT = 2;
 
-    /** FleetBudget of the line's own value beyond which an observation is an outlier, such as a stall, and is cut. */
+    /** Ratio to the predicted value above which an observation is an outlier, such as a stall, and is clamped. */
     private static final double MAX_OUTLIER_RATIO = 4;
 
     private double weightSum;
@@ -25,18 +25,18 @@
     private double productSum;
 
     /**
-     * Creates a trend that starts from an assumption.
+     * Creates a regression with a prior.
      *
-     * @param base assumed value at size 0
-     * @param slope assumed growth for each unit of size
-     * @param usualSize a usual size, where the assumption counts as well
+     * @param intercept prior value at size 0
+     * @param slope prior increase per unit of size
+     * @param typicalSize a typical size; the prior consists of the points at size 0 and at this size
      */
     public OnlineLinearRegression(double intercept, double slope, double typicalSize) {
         add(0, intercept, PRIOR_WEIGHT);
         add(typicalSize, intercept + slope * typicalSize, PRIOR_WEIGHT);
     }
 
-    /** Records a value that was seen at a size. */
+    /** Records an observed value at a size. */
     public void observe(double size, double value) {
         double maxValue = MAX_OUTLIER_RATIO * Math.max(1, predict(size));
         weightSum *= DECAY;
@@ -55,7 +55,7 @@
         productSum += count * size * value;
     }
 
-    /** Returns the growth for each unit of size, at least 0. */
+    /** Returns the increase per unit of size, at least 0. */
     public double slope() {
         double spread = weightSum * sizeSquaredSum - sizeSum * sizeSum;
         return spread <= 0 ? 0 : Math.max(0, (weightSum * productSum - sizeSum * valueSum) / spread);
@@ -66,7 +66,7 @@
         return Math.max(0, (valueSum - slope() * sizeSum) / weightSum);
     }
 
-    /** Returns the expected value at a size. */
+    /** Returns the predicted value at a size. */
     public double predict(double size) {
         return intercept() + slope() * size;
     }
