--- a/core/src/main/java/org/wingstall/core/lease/LeaseCandidate.java
+++ b/core/src/main/java/org/wingstall/core/lease/LeaseCandidate.java
@@ -4,14 +4,14 @@
 import org.wingstall.schema.table.LeaseRow;
 
 /**
- * One box's view of a lease whose row lies in the platform's table; not safe for several threads.
+ * Decides when one box may acquire or renew a lease that is stored as a row in the platform's table. Not thread-safe.
  *
- * <p>No wall clock is compared with another box's. The holder counts its time from before it sent the write; every other
- * box counts from when it first saw the row as it stands, and adds a guard. So the holder's time is over before another
- * box begins to write, unless the holder is paused between looking at {@link #remainingMs()} and acting: that is what the token
- * is for.
+ * <p>Clocks of different boxes are never compared. The holder measures the lease duration from before it sent the
+ * write; every other box measures it from when it first saw the current version of the row, and adds a guard time. So
+ * the holder's lease expires before another box starts to write, unless the holder is paused between checking
+ * {@link #remainingMs()} and acting; the fencing token protects against that case.
  *
- * <p>{@code LeaseStep step = candidate.next(version, row); ... candidate.written(write, sentAtMs);}
+ * <p>{@code LeaseStep step = candidate.nextStep(version, row); ... candidate.recordWritten(write, sentAtMs);}
  *
  * @since 0.1
  */
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Creates the view of a box that does not hold the lease.
+     * Creates a candidate that does not hold the lease.
      *
-     * @param self box and incarnation, unique for ever
-     * @param durationMs time that a renewal lasts, in ms
-     * @param guardMs time that this box waits beyond another one's end, in ms
+     * @param self box and incarnation; never reused
+     * @param durationMs duration of the lease after each write, in ms
+     * @param guardMs time that this box waits after another box's lease has expired, in ms
      * @param clock monotonic clock
      */
     public LeaseCandidate(String self, long durationMs, long guardMs, MonotonicClock clock) {
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Decides what to do about the row as it was just read.
+     * Returns the next step for the row as just read.
      *
-     * @param version version of the row; 0 when it is absent
-     * @param row the row, or null when it is absent
-     * @return what to do
+     * @param version version of the row; 0 if the row is absent
+     * @param row the row, or null if it is absent
+     * @return whether to write the row or to wait
      */
     public LeaseStep nextStep(long version, LeaseRow row) {
         long nowMs = clock.nowMs();
@@ -71,35 +71,35 @@
     }
 
     /**
-     * Records a write that definitely took effect.
+     * Records a write that is known to have taken effect.
      *
      * @param write the write
-     * @param sentAtMs when it was sent, in ms of the monotonic clock
+     * @param sentAtMs when the write was sent, in ms of the monotonic clock
      */
     public void recordWritten(LeaseStep.Write write, long sentAtMs) {
         held = new Held(write.row().getToken(), sentAtMs + durationMs);
     }
 
-    /** Records that the lease is lost or must not be used. */
+    /** Stops using the lease, because it was lost or must not be used. */
     public void invalidate() {
         held = Held.NONE;
     }
 
-    /** Returns the row that gives the lease back, for a box that holds it. */
+    /** Returns the row to write to release the lease; only for a box that holds it. */
     public LeaseRow releasedRow() {
         return new LeaseRow(NO_HOLDER, held.token(), durationMs);
     }
 
-    /** Returns the token; 0 when the lease is not held or its time is over. */
+    /** Returns the fencing token; 0 if the lease is not held or has expired. */
     public long token() {
-        Held now = held;
-        return now.untilMs() > clock.nowMs() ? now.token() : 0;
+        Held current = held;
+        return current.untilMs() > clock.nowMs() ? current.token() : 0;
     }
 
-    /** Returns the time left, in ms; 0 when the lease is not held. */
+    /** Returns the time until the lease expires, in ms; 0 if it is not held. */
     public long remainingMs() {
-        Held now = held;
-        return now.token() == 0 ? 0 : Math.max(0, now.untilMs() - clock.nowMs());
+        Held current = held;
+        return current.token() == 0 ? 0 : Math.max(0, current.untilMs() - clock.nowMs());
     }
 
     private LeaseRow ownRow(long token) {
--- a/core/src/main/java/org/wingstall/core/lease/LeaseStep.java
+++ b/core/src/main/java/org/wingstall/core/lease/LeaseStep.java
@@ -3,7 +3,7 @@
 import org.wingstall.schema.table.LeaseRow;
 
 /**
- * What a box does next about a lease.
+ * The next step of a box that wants to acquire or renew a lease.
  *
  * <p>{@code if (step instanceof LeaseStep.Write write) { put(write.expectedVersion(), write.row()); }}
  *
@@ -11,17 +11,17 @@
  */
 public sealed interface LeaseStep {
     /**
-     * Write the row if it still has the version; the lease is held only when that took effect.
+     * Write the row if its version is unchanged; the box holds the lease only once this write has taken effect.
      *
-     * @param expectedVersion version that the row must have; 0 for an absent row
+     * @param expectedVersion required current version of the row; 0 if the row must be absent
      * @param row the new row
      */
     record Write(long expectedVersion, LeaseRow row) implements LeaseStep {}
 
     /**
-     * Another box may still hold the lease.
+     * Wait, since another box may still hold the lease.
      *
-     * @param waitMs time until it can be taken if it is not renewed, in ms
+     * @param waitMs time until the lease can be acquired if it is not renewed, in ms
      */
     record Wait(long waitMs) implements LeaseStep {}
 }
--- a/core/src/test/java/org/wingstall/core/lease/LeaseCandidateTest.java
+++ b/core/src/test/java/org/wingstall/core/lease/LeaseCandidateTest.java
@@ -26,35 +26,35 @@
         return new LeaseRow(holder, token, DURATION_MS);
     }
 
-    private LeaseStep.Write taken(long version, LeaseRow row) {
+    private LeaseStep.Write nextWrite(long version, LeaseRow row) {
         LeaseStep step = candidate.nextStep(version, row);
         assertTrue(step instanceof LeaseStep.Write, step.toString());
         return (LeaseStep.Write) step;
     }
 
     @Test
-    public void anAbsentRowIsTakenWithTheFirstToken() {
-        assertEquals(taken(0, null), new LeaseStep.Write(0, row("me", 1)));
+    public void acquiresAbsentRowWithFirstToken() {
+        assertEquals(nextWrite(0, null), new LeaseStep.Write(0, row("me", 1)));
     }
 
     @Test
-    public void anotherHoldersRowIsTakenOnlyAfterItsTimeAndTheGuardWithoutAChange() {
+    public void acquiresHeldRowOnlyAfterDurationAndGuardWithoutChange() {
         assertEquals(candidate.nextStep(4, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
         nowMs.addAndGet(DURATION_MS);
         assertEquals(candidate.nextStep(4, row("other", 7)), new LeaseStep.Wait(GUARD_MS));
         assertEquals(candidate.nextStep(5, row("other", 7)), new LeaseStep.Wait(DURATION_MS + GUARD_MS));
         nowMs.addAndGet(DURATION_MS + GUARD_MS);
-        assertEquals(taken(5, row("other", 7)), new LeaseStep.Write(5, row("me", 8)));
+        assertEquals(nextWrite(5, row("other", 7)), new LeaseStep.Write(5, row("me", 8)));
     }
 
     @Test
-    public void aReleasedRowIsTakenAtOnce() {
-        assertEquals(taken(9, row("", 3)), new LeaseStep.Write(9, row("me", 4)));
+    public void acquiresReleasedRowImmediately() {
+        assertEquals(nextWrite(9, row("", 3)), new LeaseStep.Write(9, row("me", 4)));
     }
 
     @Test
-    public void theHoldersTimeCountsFromBeforeTheWriteWasSent() {
-        LeaseStep.Write write = taken(0, null);
+    public void leaseDurationCountsFromBeforeWriteWasSent() {
+        LeaseStep.Write write = nextWrite(0, null);
         long sentAtMs = nowMs.get();
         nowMs.addAndGet(300);
         candidate.recordWritten(write, sentAtMs);
@@ -66,14 +66,14 @@
     }
 
     @Test
-    public void aHolderThatSeesAnotherOneHasLostItsLeaseAtOnce() {
-        candidate.recordWritten(taken(0, null), nowMs.get());
+    public void losesLeaseWhenRowNamesAnotherHolder() {
+        candidate.recordWritten(nextWrite(0, null), nowMs.get());
         candidate.nextStep(2, row("other", 2));
         assertEquals(candidate.token(), 0);
     }
 
     @Test
-    public void aRenewalKeepsTheToken() {
-        assertEquals(taken(6, row("me", 5)), new LeaseStep.Write(6, row("me", 5)));
+    public void renewalKeepsToken() {
+        assertEquals(nextWrite(6, row("me", 5)), new LeaseStep.Write(6, row("me", 5)));
     }
 }
