--- a/core/src/main/java/org/wingstall/core/member/Addresses.java
+++ b/core/src/main/java/org/wingstall/core/member/Addresses.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Reads addresses of the form that settings and membership lists use.
+ * Parses and formats addresses as used in settings and membership lists.
  *
  * <p>{@code Addresses.parse("127.0.0.1:8080").getPort()} is 8080.
  *
@@ -13,9 +13,9 @@
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param text IP number, a colon and a port
+     * @param text IP address, a colon and a port
      * @return the address
      */
     public static InetSocketAddress parse(String text) {
@@ -23,7 +23,7 @@
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Returns an address in the form that {@link #parse} reads. */
+    /** Formats an address so that {@link #parse} accepts it. */
     public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
--- a/core/src/main/java/org/wingstall/core/member/EndpointRegistry.java
+++ b/core/src/main/java/org/wingstall/core/member/EndpointRegistry.java
@@ -12,9 +12,9 @@
 import org.wingstall.schema.platform.Member;
 
 /**
- * The endpoints of all services, joined from the membership list, the endpoints' own answers and peers' hints.
+ * Tracks the endpoints of all services, combining the membership list with leaving notices from endpoints and peers.
  *
- * <p>An incarnation that was once said to be leaving stays so, whatever a list that lags says later.
+ * <p>An incarnation that was once marked as leaving stays so, even if a stale list later shows it as live.
  *
  * <p>{@code List<EndpointState> engines = registry.endpointsOf("wingstall-llm");}
  *
@@ -28,20 +28,20 @@
     private volatile boolean memberListSeen;
 
     /**
-     * Creates a registry without endpoints.
+     * Creates an empty registry.
      *
-     * @param clock clock of the endpoints' states
+     * @param clock clock passed to the endpoint states
      */
     public EndpointRegistry(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** Returns whether a membership list has been seen. */
+    /** Returns whether a membership list has been received. */
     public boolean hasMemberList() {
         return memberListSeen;
     }
 
-    /** Returns the endpoints of a service; an immutable list. */
+    /** Returns the endpoints of a service as an immutable list. */
     public List<EndpointState> endpointsOf(String service) {
         return byService.getOrDefault(service, List.of());
     }
@@ -52,14 +52,14 @@
     }
 
     /**
-     * Takes in a membership list.
+     * Applies a membership list.
      *
      * @param members members of all kinds
-     * @return endpoints that were known and serving, and are leaving by this list
+     * @return endpoints that were not leaving before and are marked as leaving by this list
      */
     public synchronized List<EndpointState> applyList(List<Member> members) {
         Map<String, EndpointState> next = new HashMap<>();
-        List<EndpointState> staying =
+        List<EndpointState> notLeaving =
                 all().stream().filter(endpoint -> !endpoint.leaving()).toList();
         for (Member member : members) {
             if (member.getKind() == Member.Kind.ENDPOINT) {
@@ -69,15 +69,15 @@
         leavingIncarnations.keySet().removeIf(id -> byMember.containsKey(id) && !next.containsKey(id));
         publish(next);
         memberListSeen = true;
-        return staying.stream().filter(EndpointState::leaving).toList();
+        return notLeaving.stream().filter(EndpointState::leaving).toList();
     }
 
     /**
-     * Records that an endpoint is leaving.
+     * Marks an endpoint as leaving.
      *
-     * @param memberId the endpoint
-     * @param incarnation its incarnation
-     * @return whether that was news
+     * @param memberId identifier of the endpoint in the membership list
+     * @param incarnation incarnation of the endpoint that is leaving
+     * @return whether this was not yet known
      */
     public synchronized boolean markLeaving(String memberId, long incarnation) {
         Long previous = leavingIncarnations.get(memberId);
@@ -94,11 +94,12 @@
 
     private EndpointState stateOf(Member member) {
         EndpointState previous = byMember.get(member.getMemberId());
-        boolean same = previous != null && previous.identity().incarnation() == member.getIncarnation();
-        boolean older = previous != null && previous.identity().incarnation() > member.getIncarnation();
-        EndpointState state = same || older ? previous : new EndpointState(EndpointIdentity.of(member), clock);
+        boolean sameIncarnation = previous != null && previous.identity().incarnation() == member.getIncarnation();
+        boolean staleIncarnation = previous != null && previous.identity().incarnation() > member.getIncarnation();
+        EndpointState state =
+                sameIncarnation || staleIncarnation ? previous : new EndpointState(EndpointIdentity.of(member), clock);
         long incarnation = state.identity().incarnation();
-        if (!older && member.getState() == Member.State.LEAVING) {
+        if (!staleIncarnation && member.getState() == Member.State.LEAVING) {
             leavingIncarnations.merge(member.getMemberId(), incarnation, Math::max);
         }
         if (leavingIncarnations.getOrDefault(member.getMemberId(), -1L) >= incarnation) {
--- a/core/src/main/java/org/wingstall/core/member/MemberListDiff.java
+++ b/core/src/main/java/org/wingstall/core/member/MemberListDiff.java
@@ -9,9 +9,10 @@
 import org.wingstall.schema.platform.Member;
 
 /**
- * Differences between two states of the membership list, so that one box of a failure domain reads it for the others.
+ * Computes and applies differences between membership lists, so that one box of a failure domain can read the list and
+ * send the changes to the others.
  *
- * <p>{@code MemberNews news = MemberListDiff.between(before, after, 0); ... MemberListDiff.apply(mine, news);}
+ * <p>{@code MemberNews news = MemberListDiff.between(before, after, 0); ... MemberListDiff.apply(current, news);}
  *
  * @since 0.1
  */
@@ -19,31 +20,31 @@
     private MemberListDiff() {}
 
     /**
-     * Returns what turns one list into another.
+     * Returns the difference that turns one list into another.
      *
      * @param before the older list
      * @param after the newer list
-     * @param version version of the store as of which the newer list was read; 0 when lists have tags of the platform
-     * @return members that are new, differ or are gone
+     * @param version version of the store at which the newer list was read; 0 if the platform supplies the tags
+     * @return members that were added, changed or removed
      */
     public static MemberNews between(MemberSnapshot before, MemberSnapshot after, long version) {
-        Map<String, Member> gone = byId(before);
+        Map<String, Member> removed = byId(before);
         List<Member> changed = new ArrayList<>();
         for (Member member : after.members()) {
-            Member known = gone.remove(member.getMemberId());
-            if (!member.equals(known)) {
+            Member previous = removed.remove(member.getMemberId());
+            if (!member.equals(previous)) {
                 changed.add(member);
             }
         }
-        return new MemberNews(before.tag(), after.tag(), changed, List.copyOf(gone.keySet()), version);
+        return new MemberNews(before.tag(), after.tag(), changed, List.copyOf(removed.keySet()), version);
     }
 
     /**
-     * Applies a change to the list that it was made for.
+     * Applies a difference to the list that it was computed from.
      *
-     * @param mine the list at hand
-     * @param news the change
-     * @return the list after the change, or empty when the change was made for another list
+     * @param base the current list
+     * @param diff the difference
+     * @return the updated list, or empty if the difference was computed from another list
      */
     public static Optional<MemberSnapshot> apply(MemberSnapshot base, MemberNews diff) {
         if (base.shortTag() == 0 || !base.tag().equals(diff.getBeforeTag())) {
--- a/core/src/main/java/org/wingstall/core/member/MemberSnapshot.java
+++ b/core/src/main/java/org/wingstall/core/member/MemberSnapshot.java
@@ -7,16 +7,16 @@
 import org.wingstall.schema.platform.Member;
 
 /**
- * The membership list as it was at one moment.
+ * Holds the membership list at one point in time.
  *
- * <p>{@code MemberSnapshot.NONE} stands for no list at all.
+ * <p>{@code MemberSnapshot.NONE} is used before any list has been received.
  *
- * @param tag tag that the platform gave this state of the list; empty when it gave none
+ * @param tag tag that identifies this version of the list; empty if the source gave none
  * @param members the members
  * @since 0.1
  */
 public record MemberSnapshot(String tag, List<Member> members) {
-    /** No list. */
+    /** The snapshot used when there is no list. */
     public static final MemberSnapshot NONE = new MemberSnapshot("", List.of());
 
     private static final int SHORT_TAG_MASK = 0x7fff_ffff;
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Returns a list whose tag is a hash of what it holds, for a source that gives no tags: lists with the same members have
-     * the same tag, in whatever order they come.
+     * Returns a snapshot whose tag is a hash of its members, for sources that supply no tags. Lists with the same
+     * members have the same tag, regardless of their order.
      *
      * @param members the members
-     * @return the list
+     * @return the snapshot
      */
     public static MemberSnapshot withContentTag(List<Member> members) {
         List<Member> sorted = members.stream()
@@ -52,7 +52,7 @@
         return new MemberSnapshot(Long.toHexString(hash.getAsLong()), sorted);
     }
 
-    /** Returns a short hash of the tag, at least 1; 0 when the platform gave no tag. */
+    /** Returns a 31-bit hash of the tag, at least 1; 0 if there is no tag. */
     public int shortTag() {
         return tag.isEmpty() ? 0 : Math.max(1, tag.hashCode() & SHORT_TAG_MASK);
     }
--- a/core/src/test/java/org/wingstall/core/member/EndpointRegistryTest.java
+++ b/core/src/test/java/org/wingstall/core/member/EndpointRegistryTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void leavingIsStickyForAnIncarnationWhateverALaggingListSays() {
+    public void incarnationStaysLeavingDespiteStaleList() {
         registry.applyList(List.of(member(3, Member.State.LIVE)));
         assertTrue(registry.markLeaving("e", 3));
         assertFalse(registry.markLeaving("e", 3));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void anOlderIncarnationInALaggingListChangesNothing() {
+    public void ignoresOlderIncarnationInStaleList() {
         EndpointRegistry other = new EndpointRegistry(System::nanoTime);
         other.applyList(List.of(member(5, Member.State.LIVE)));
         other.applyList(List.of(member(4, Member.State.LEAVING)));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void aHintThatComesBeforeTheListIsKept() {
+    public void keepsLeavingMarkReceivedBeforeList() {
         EndpointRegistry other = new EndpointRegistry(System::nanoTime);
         other.markLeaving("e", 7);
         other.applyList(List.of(member(7, Member.State.LIVE)));
--- a/core/src/test/java/org/wingstall/core/member/MemberListDiffTest.java
+++ b/core/src/test/java/org/wingstall/core/member/MemberListDiffTest.java
@@ -24,34 +24,34 @@
     Object[][] changes() {
         MemberSnapshot two = list("1", member("a", 1), member("b", 1));
         return new Object[][] {
-            {"nothing but the tag", two, list("2", member("a", 1), member("b", 1)), 0, 0},
-            {"a new member", two, list("2", member("a", 1), member("b", 1), member("c", 1)), 1, 0},
-            {"a new incarnation", two, list("2", member("a", 2), member("b", 1)), 1, 0},
-            {"a member gone", two, list("2", member("b", 1)), 0, 1},
-            {"all replaced", two, list("2", member("c", 1), member("d", 1)), 2, 2},
+            {"only the tag changed", two, list("2", member("a", 1), member("b", 1)), 0, 0},
+            {"member added", two, list("2", member("a", 1), member("b", 1), member("c", 1)), 1, 0},
+            {"incarnation changed", two, list("2", member("a", 2), member("b", 1)), 1, 0},
+            {"member removed", two, list("2", member("b", 1)), 0, 1},
+            {"all members replaced", two, list("2", member("c", 1), member("d", 1)), 2, 2},
         };
     }
 
     @Test(dataProvider = "changes")
-    public void theChangeTurnsTheOlderListIntoTheNewer(
+    public void diffTurnsOlderListIntoNewer(
             String name, MemberSnapshot before, MemberSnapshot after, int changed, int removed) {
-        MemberNews news = MemberListDiff.between(before, after, 0);
-        assertEquals(news.getChanged().size(), changed);
-        assertEquals(news.getRemoved().size(), removed);
-        MemberSnapshot applied = MemberListDiff.apply(before, news).orElseThrow();
+        MemberNews diff = MemberListDiff.between(before, after, 0);
+        assertEquals(diff.getChanged().size(), changed);
+        assertEquals(diff.getRemoved().size(), removed);
+        MemberSnapshot applied = MemberListDiff.apply(before, diff).orElseThrow();
         assertEquals(applied.tag(), after.tag());
         assertEquals(Set.copyOf(applied.members()), Set.copyOf(after.members()));
     }
 
     @Test
-    public void aChangeOfAnotherListIsNotApplied() {
-        MemberNews news = MemberListDiff.between(list("1"), list("2", member("a", 1)), 0);
-        assertEquals(MemberListDiff.apply(list("3"), news), Optional.empty());
-        assertEquals(MemberListDiff.apply(MemberSnapshot.NONE, news), Optional.empty());
+    public void doesNotApplyDiffOfAnotherList() {
+        MemberNews diff = MemberListDiff.between(list("1"), list("2", member("a", 1)), 0);
+        assertEquals(MemberListDiff.apply(list("3"), diff), Optional.empty());
+        assertEquals(MemberListDiff.apply(MemberSnapshot.NONE, diff), Optional.empty());
     }
 
     @Test
-    public void onlyATagOfThePlatformHasAShortForm() {
+    public void shortTagIsZeroWithoutTagAndPositiveOtherwise() {
         assertEquals(MemberSnapshot.NONE.shortTag(), 0);
         assertTrue(list("\"17\"").shortTag() > 0);
     }
