--- a/core/src/main/java/org/wingstall/core/peer/DomainMesh.java
+++ b/core/src/main/java/org/wingstall/core/peer/DomainMesh.java
@@ -5,7 +5,7 @@
 import org.wingstall.core.peer.LinkPlan.Box;
 
 /**
- * Links all boxes of a failure domain, reachable or not, and a few across every pair of domains.
+ * Links all boxes within a failure domain, reachable or not, and a few boxes of every pair of domains.
  *
  * <p>{@code new DomainMesh().linksOf(self, reachable, known)}
  *
@@ -21,7 +21,7 @@
         return links;
     }
 
-    /** No box works for all others: there are links between few boxes of different domains. */
+    /** Returns no hubs: boxes of different domains are linked only in part, so no box has a link to every other one. */
     @Override
     public Set<String> hubs(Box self, Collection<Box> reachable) {
         return Set.of();
--- a/core/src/main/java/org/wingstall/core/peer/HeartbeatPacer.java
+++ b/core/src/main/java/org/wingstall/core/peer/HeartbeatPacer.java
@@ -1,15 +1,16 @@
 package org.wingstall.core.peer;
 
 /**
- * Spaces heartbeats so that their bytes, both ways, stay within a budget: plain ones are stretched a little, and what only
- * efficiency needs (demand, other failure domains) goes along with every so many of them.
+ * Chooses heartbeat intervals so that the traffic, in both directions, stays within a byte budget. The interval of
+ * plain heartbeats grows if needed; data that serves only efficiency (demand, other failure domains) is sent with every
+ * n-th heartbeat, a full one.
  *
  * <p>{@code HeartbeatPacer.Plan plan = new HeartbeatPacer(1000, 2400).plan(23, 21, 250);}
  *
  * @since 0.1
  */
 public final class HeartbeatPacer {
-    /** Bytes of IP and TCP headers for a segment and its acknowledgement. */
+    /** IP and TCP headers of a segment and its acknowledgement, in bytes. */
     private static final int HEADER_BYTES = 2 * 52;
 
     private static final double PLAIN_BUDGET_SHARE = 0.8;
@@ -18,13 +19,13 @@
     private final double budgetBytesPerSecond;
 
     /**
-     * When to send what.
+     * Intervals of plain and full heartbeats.
      *
-     * @param intervalMs time between heartbeats, in ms
-     * @param fullEvery how many heartbeats there are to each full one
+     * @param intervalMs interval between heartbeats, in ms
+     * @param fullEvery number of heartbeats per full heartbeat
      */
     public record Plan(long intervalMs, int fullEvery) {
-        /** Returns the time between two full heartbeats, in ms. */
+        /** Returns the interval between full heartbeats, in ms. */
         public long fullIntervalMs() {
             return intervalMs * fullEvery;
         }
@@ -33,21 +34,21 @@
     /**
      * Creates a pacer.
      *
-     * @param shortestMs shortest interval, in ms
-     * @param budgetBytesPerSecond bytes a second that heartbeats may cost, both ways
+     * @param minIntervalMs minimum interval, in ms
+     * @param budgetBytesPerSecond budget for heartbeats in bytes per second, both directions together
      */
-    public HeartbeatPacer(long shortestMs, double budgetBytesPerSecond) {
-        this.minIntervalMs = shortestMs;
+    public HeartbeatPacer(long minIntervalMs, double budgetBytesPerSecond) {
+        this.minIntervalMs = minIntervalMs;
         this.budgetBytesPerSecond = budgetBytesPerSecond;
     }
 
     /**
-     * Plans the heartbeats.
+     * Computes the heartbeat intervals.
      *
-     * @param peers links that heartbeats go over
+     * @param peers number of links that carry heartbeats
      * @param plainBytes size of a plain heartbeat's frame, in bytes
      * @param fullBytes size of a full heartbeat's frame, in bytes
-     * @return when to send what
+     * @return intervals of plain and full heartbeats
      */
     public Plan plan(int peers, int plainBytes, int fullBytes) {
         double plainBytesPerRound = 2.0 * peers * (plainBytes + HEADER_BYTES);
--- a/core/src/main/java/org/wingstall/core/peer/HeartbeatThrottle.java
+++ b/core/src/main/java/org/wingstall/core/peer/HeartbeatThrottle.java
@@ -1,24 +1,25 @@
 package org.wingstall.core.peer;
 
 /**
- * Says at which turns a box sends heartbeats. A box that does work for others sends at each turn, since they have to know soon
- * when it is gone; of any other box the hubs of a large fleet need few signs of life, and they hear hundreds of them.
+ * Decides at which ticks of the heartbeat timer a box sends heartbeats. A box that does work for others sends one at
+ * every tick, since they must soon detect that it is gone. Any other box sends fewer, because the hubs of a large fleet
+ * receive heartbeats from hundreds of boxes.
  *
- * <p>{@code if (turns.due(worksForOthers)) { sendHeartbeats(); }}
+ * <p>{@code if (throttle.isDue(worksForOthers)) { sendHeartbeats(); }}
  *
  * @since 0.8
  */
 public final class HeartbeatThrottle {
-    /** Turns from one heartbeat to the next of a box that does no work for others. */
+    /** Ticks between two heartbeats of a box that does no work for others. */
     public static final int NON_HUB_INTERVAL_TICKS = 5;
 
     private int ticksSinceLast;
 
     /**
-     * Records a turn.
+     * Records a tick and returns whether heartbeats are due.
      *
-     * @param worksForOthers whether others have work done by this box
-     * @return whether heartbeats are sent at this turn
+     * @param worksForOthers whether this box does work for others
+     * @return whether to send heartbeats at this tick
      */
     public boolean isDue(boolean worksForOthers) {
         ticksSinceLast++;
--- a/core/src/main/java/org/wingstall/core/peer/HubLinks.java
+++ b/core/src/main/java/org/wingstall/core/peer/HubLinks.java
@@ -13,11 +13,11 @@
 import org.wingstall.core.peer.LinkPlan.Box;
 
 /**
- * Links every box to the hubs of all failure domains: in each the few boxes with the most processor time. A small fleet is
- * linked whole, and each of its boxes carries work for others.
+ * Links every box to the hubs of all failure domains, which are the few boxes with the most processor time in each
+ * domain. A small fleet is a full mesh in which every box is a hub.
  *
- * <p>So a box keeps as many links as there are hubs, and whatever one box does for all reaches every other box over one
- * link. {@code new HubLinks(24, 2).carriers(self, boxes)}
+ * <p>So a box keeps as many links as there are hubs, and the results of work that a hub does for others reach every box
+ * over one link. {@code new HubLinks(24, 2).hubs(self, boxes)}
  *
  * @since 0.3
  */
@@ -28,11 +28,11 @@
     /**
      * Creates the strategy.
      *
-     * @param wholeMeshBoxes most boxes of a fleet that is linked whole
-     * @param hubsPerDomain hubs of a failure domain; two or more, so that the loss of one leaves another
+     * @param maxFullMeshBoxes maximum number of boxes in a fleet that is linked as a full mesh
+     * @param hubsPerDomain number of hubs per failure domain; at least two, so that one remains when another is lost
      */
-    public HubLinks(int wholeMeshBoxes, int hubsPerDomain) {
-        this.maxFullMeshBoxes = wholeMeshBoxes;
+    public HubLinks(int maxFullMeshBoxes, int hubsPerDomain) {
+        this.maxFullMeshBoxes = maxFullMeshBoxes;
         this.hubsPerDomain = hubsPerDomain;
     }
 
@@ -45,18 +45,18 @@
 
     @Override
     public Set<String> hubs(Box self, Collection<Box> reachable) {
-        Map<String, List<Box>> domains = Stream.concat(Stream.of(self), reachable.stream())
+        Map<String, List<Box>> boxesByDomain = Stream.concat(Stream.of(self), reachable.stream())
                 .filter(distinctById())
                 .collect(Collectors.groupingBy(Box::failureDomain, TreeMap::new, Collectors.toList()));
-        int boxCount = domains.values().stream().mapToInt(List::size).sum();
+        int boxCount = boxesByDomain.values().stream().mapToInt(List::size).sum();
         int maxPerDomain = boxCount <= maxFullMeshBoxes ? boxCount : hubsPerDomain;
-        return domains.values().stream()
+        return boxesByDomain.values().stream()
                 .flatMap(domain -> domain.stream().sorted(BY_CAPACITY).limit(maxPerDomain))
                 .map(Box::boxId)
                 .collect(Collectors.toSet());
     }
 
-    /** All boxes come to the same order, whatever the order in which they know each other. */
+    /** Total order that does not depend on the iteration order of the boxes, so that all boxes choose the same hubs. */
     private static final Comparator<Box> BY_CAPACITY =
             Comparator.comparingInt(Box::capacity).reversed().thenComparing(Box::boxId);
 
--- a/core/src/main/java/org/wingstall/core/peer/LinkPlan.java
+++ b/core/src/main/java/org/wingstall/core/peer/LinkPlan.java
@@ -9,7 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * Says which gateways keep links: all within a failure domain, and two of each across every pair of domains.
+ * Determines the links between gateways: all pairs within a failure domain, and two gateways of each domain for every
+ * pair of domains.
  *
  * <p>{@code Set<String> links = LinkPlan.linksOf(self, boxes);}
  *
@@ -21,25 +22,25 @@
     private LinkPlan() {}
 
     /**
-     * A gateway that may take part.
+     * A gateway to link.
      *
-     * @param boxId its box
-     * @param failureDomain its failure domain
-     * @param capacity processor time it has, in hundredths of a core; 0 when it is not known
+     * @param boxId identifier of the gateway's box
+     * @param failureDomain failure domain of the box
+     * @param capacity processor time of the box, in hundredths of a core; 0 if unknown
      */
     public record Box(String boxId, String failureDomain, int capacity) {
-        /** Creates a gateway whose capacity is not known. */
+        /** Creates a gateway with unknown capacity. */
         public Box(String boxId, String failureDomain) {
             this(boxId, failureDomain, 0);
         }
     }
 
     /**
-     * Returns the boxes that a gateway keeps links to.
+     * Returns the boxes that a gateway is linked to.
      *
      * @param self the gateway
-     * @param boxes gateways thought to be alive
-     * @return identifiers of the boxes
+     * @param boxes gateways that are believed to be alive
+     * @return box identifiers
      */
     public static Set<String> linksOf(Box self, Collection<Box> boxes) {
         Map<String, List<String>> domains = new TreeMap<>();
--- a/core/src/main/java/org/wingstall/core/peer/LinkStrategy.java
+++ b/core/src/main/java/org/wingstall/core/peer/LinkStrategy.java
@@ -5,7 +5,7 @@
 import org.wingstall.core.peer.LinkPlan.Box;
 
 /**
- * Says which links a gateway opens, and which boxes do work for others.
+ * Determines which links a gateway opens and which boxes are hubs.
  *
  * <p>{@code LinkStrategy strategy = new HubLinks(24, 2);}
  *
@@ -16,18 +16,18 @@
      * Returns the boxes that a gateway opens links to.
      *
      * @param self the gateway
-     * @param reachable boxes known and not found unreachable
-     * @param known all boxes known
-     * @return identifiers of the boxes, a set that the caller may change
+     * @param reachable known boxes that have not been found unreachable
+     * @param known all known boxes
+     * @return box identifiers, in a set that the caller may modify
      */
     Set<String> linksOf(Box self, Collection<Box> reachable, Collection<Box> known);
 
     /**
-     * Returns the boxes that do work for others, such as gathering pieces; every box has a link to each of them.
+     * Returns the hubs: boxes that do work for others, such as gathering pieces. Every box has a link to each hub.
      *
      * @param self the gateway
-     * @param reachable boxes known and not found unreachable
-     * @return identifiers of the boxes
+     * @param reachable known boxes that have not been found unreachable
+     * @return box identifiers
      */
     Set<String> hubs(Box self, Collection<Box> reachable);
 }
--- a/core/src/main/java/org/wingstall/core/peer/RendezvousHash.java
+++ b/core/src/main/java/org/wingstall/core/peer/RendezvousHash.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * RendezvousHash hashing: all who know the same boxes choose the same ones, and a box lost moves only what it held.
+ * Chooses boxes by rendezvous hashing: callers that know the same boxes choose the same ones, and the loss of a box
+ * reassigns only what was assigned to it.
  *
  * <p>{@code String batcher = RendezvousHash.top("claims", boxes, 1).get(0);}
  *
@@ -16,12 +17,12 @@
     private RendezvousHash() {}
 
     /**
-     * Chooses boxes for a purpose.
+     * Returns the boxes with the highest scores for a purpose.
      *
-     * @param purpose what they are chosen for
-     * @param boxes boxes to choose from
-     * @param count how many to choose at most
-     * @return the chosen boxes, the first choice first
+     * @param purpose key that is hashed with each box identifier
+     * @param boxes identifiers of the boxes to choose from
+     * @param count maximum number of boxes to choose
+     * @return identifiers of the chosen boxes, highest score first
      */
     public static List<String> top(String purpose, Collection<String> boxes, int count) {
         Comparator<String> byScore = Comparator.comparingLong(box -> score(purpose, box));
@@ -32,11 +33,11 @@
     }
 
     /**
-     * Returns the place of a box in the order for a purpose; 0 for the first choice.
+     * Returns the rank of a box for a purpose, where 0 is the highest score.
      *
-     * @param purpose what boxes are chosen for
-     * @param boxes boxes to choose from
-     * @param box the box
+     * @param purpose key that is hashed with each box identifier
+     * @param boxes identifiers of the boxes to choose from
+     * @param box identifier of the box
      */
     public static int rank(String purpose, Collection<String> boxes, String box) {
         long own = score(purpose, box);
--- a/core/src/test/java/org/wingstall/core/peer/HeartbeatThrottleTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/HeartbeatThrottleTest.java
@@ -6,7 +6,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Hubs hear every box of a large fleet; those that do no work for others need not be heard at each turn. */
+/**
+ * Hubs of a large fleet receive heartbeats from every box; boxes that do no work for others do not send one at every
+ * tick.
+ */
 public class HeartbeatThrottleTest {
     @DataProvider
     public Object[][] boxes() {
@@ -14,11 +17,11 @@
     }
 
     @Test(dataProvider = "boxes")
-    public void aBoxThatWorksForOthersIsHeardAtEachTurn(boolean worksForOthers, long heartbeats) {
-        HeartbeatThrottle turns = new HeartbeatThrottle();
+    public void sendsAtEveryTickOnlyWhenWorkingForOthers(boolean worksForOthers, long heartbeats) {
+        HeartbeatThrottle throttle = new HeartbeatThrottle();
         assertEquals(
                 IntStream.range(0, 100)
-                        .filter(turn -> turns.isDue(worksForOthers))
+                        .filter(tick -> throttle.isDue(worksForOthers))
                         .count(),
                 heartbeats);
     }
--- a/core/src/test/java/org/wingstall/core/peer/HubLinksTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/HubLinksTest.java
@@ -35,24 +35,22 @@
     }
 
     @Test(dataProvider = "largeFleets")
-    public void everyBoxOfALargeFleetLinksToTheStrongestOfEachDomain(int domains, int boxes) {
+    public void linksLargeFleetToHubsWithMostCapacity(int domains, int boxes) {
         List<Box> fleet = fleet(domains, boxes);
         for (Box box : fleet) {
             List<Box> others = new ArrayList<>(fleet);
             others.remove(box);
             Collections.shuffle(others, new Random(box.hashCode()));
-            Set<String> carriers = links.hubs(box, others);
-            assertEquals(carriers.size(), 2 * domains);
-            assertTrue(fleet.stream()
-                    .filter(one -> carriers.contains(one.boxId()))
-                    .allMatch(one -> one.capacity() == BIG));
-            int own = carriers.contains(box.boxId()) ? 1 : 0;
+            Set<String> hubs = links.hubs(box, others);
+            assertEquals(hubs.size(), 2 * domains);
+            assertTrue(fleet.stream().filter(one -> hubs.contains(one.boxId())).allMatch(one -> one.capacity() == BIG));
+            int own = hubs.contains(box.boxId()) ? 1 : 0;
             assertEquals(links.linksOf(box, others, others).size(), 2 * domains - own);
         }
     }
 
     @Test
-    public void anotherBoxTakesTheLostHubsPlace() {
+    public void replacesLostHub() {
         List<Box> fleet = fleet(3, 29);
         Box self = fleet.get(0);
         Set<String> before = links.hubs(self, fleet);
@@ -63,7 +61,7 @@
     }
 
     @Test
-    public void everyBoxOfASmallFleetCarriesAndIsLinked() {
+    public void smallFleetIsFullMeshOfHubs() {
         List<Box> fleet = fleet(3, 3);
         assertEquals(links.hubs(fleet.get(0), fleet).size(), 9);
         assertEquals(links.linksOf(fleet.get(0), fleet, fleet).size(), 8);
--- a/core/src/test/java/org/wingstall/core/peer/LinkPlanTest.java
+++ b/core/src/test/java/org/wingstall/core/peer/LinkPlanTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void bothEndsOfALinkPlanItAndEveryPairOfDomainsHasOne(int domains, int boxes) {
+    public void linksAreSymmetricAndJoinEveryPairOfDomains(int domains, int boxes) {
         List<LinkPlan.Box> fleet = fleet(domains, boxes);
         int across = 0;
         for (LinkPlan.Box box : fleet) {
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void aLostBoxMovesOnlyWhatItHeld() {
+    public void losingBoxReassignsOnlyItsOwnAssignments() {
         List<String> boxes = List.of("a", "b", "c", "d", "e");
         String top = RendezvousHash.top("claims", boxes, 1).get(0);
         List<String> without = boxes.stream().filter(b -> !b.equals("a")).toList();
@@ -61,7 +61,7 @@
     }
 
     @Test(dataProvider = "meshes")
-    public void heartbeatsStayInTheirBudget(int peers, int plainBytes, int fullBytes) {
+    public void heartbeatsStayWithinBudget(int peers, int plainBytes, int fullBytes) {
         HeartbeatPacer.Plan plan = new HeartbeatPacer(1000, 2400).plan(peers, plainBytes, fullBytes);
         double extra = (double) (fullBytes - plainBytes) / plan.fullEvery();
         double perSecond = 2.0 * peers * (plainBytes + 104 + extra) * 1000 / plan.intervalMs();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void aSmallMeshSendsEverythingEverySecond() {
+    public void smallMeshSendsFullHeartbeatEverySecond() {
         assertEquals(new HeartbeatPacer(1000, 2400).plan(4, 21, 118), new HeartbeatPacer.Plan(1000, 1));
     }
 }
--- a/core/src/test/java/org/wingstall/core/peer/SimulatedGossipNetwork.java
+++ b/core/src/test/java/org/wingstall/core/peer/SimulatedGossipNetwork.java
@@ -7,9 +7,10 @@
 import java.util.Random;
 
 /**
- * Links between boxes that pass news on; each link keeps its order, and links are served at random.
+ * Simulates links between boxes that forward messages: each link delivers in FIFO order, and the next link is chosen at
+ * random.
  *
- * @param <N> what is told
+ * @param <N> type of the payload
  */
 public final class SimulatedGossipNetwork<N> {
     private final int boxes;
@@ -17,20 +18,20 @@
     private final Receiver<N> receiver;
     private final List<Message<N>> inTransit = new ArrayList<>();
 
-    private record Message<N>(int from, int to, N news) {}
+    private record Message<N>(int from, int to, N payload) {}
 
-    /** Takes what a box is told. */
+    /** Receives delivered messages. */
     public interface Receiver<N> {
-        /** A box hears news from another one. */
-        void receive(int box, String fromBox, N news);
+        /** Called when a message from another box is delivered to a box. */
+        void receive(int box, String fromBox, N payload);
     }
 
     /**
      * Creates links between all boxes.
      *
      * @param boxes number of boxes
-     * @param mostMessages messages within which news has to come to rest
-     * @param receiver takes what is delivered
+     * @param maxMessages maximum number of messages after which forwarding must have ended
+     * @param receiver receives delivered messages
      */
     public SimulatedGossipNetwork(int boxes, int maxMessages, Receiver<N> receiver) {
         this.boxes = boxes;
@@ -43,31 +44,31 @@
         return "box-" + box;
     }
 
-    /** Sends news from a box to all others but one; null for all. */
-    public void broadcast(int from, N news, String exceptBox) {
+    /** Sends a message from a box to all others except one; null excludes none. */
+    public void broadcast(int from, N payload, String exceptBox) {
         for (int to = 0; to < boxes; to++) {
             if (to != from && !nameOf(to).equals(exceptBox)) {
-                inTransit.add(new Message<>(from, to, news));
+                inTransit.add(new Message<>(from, to, payload));
             }
         }
     }
 
-    /** Delivers messages until none is under way. */
+    /** Delivers messages until none is in transit. */
     public void deliverAll(Random random) {
-        assertTrue(deliver(random, maxMessages) < maxMessages, inTransit.size() + " messages still under way");
+        assertTrue(deliver(random, maxMessages) < maxMessages, inTransit.size() + " messages still in transit");
     }
 
-    /** Delivers messages of random links; returns how many. */
-    public int deliver(Random random, int maxMessages) {
+    /** Delivers messages from random links and returns how many were delivered. */
+    public int deliver(Random random, int limit) {
         int delivered = 0;
-        while (delivered < maxMessages && !inTransit.isEmpty()) {
+        while (delivered < limit && !inTransit.isEmpty()) {
             Message<N> any = inTransit.get(random.nextInt(inTransit.size()));
             Message<N> first = inTransit.stream()
                     .filter(message -> message.from() == any.from() && message.to() == any.to())
                     .findFirst()
                     .orElseThrow();
             inTransit.remove(first);
-            receiver.receive(first.to(), nameOf(first.from()), first.news());
+            receiver.receive(first.to(), nameOf(first.from()), first.payload());
             delivered++;
         }
         return delivered;
