--- a/core/src/main/java/org/wingstall/core/queue/FifoWaitQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/FifoWaitQueue.java
@@ -3,7 +3,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 
-/** First come, first served; a baseline. */
+/** Serves waiters in the sequence of their arrival; a baseline. */
 final class FifoWaitQueue<W extends Waiter> implements WaitQueue<W> {
     private final LinkedHashSet<W> waiters = new LinkedHashSet<>();
 
--- a/core/src/main/java/org/wingstall/core/queue/GrantIntervalEstimator.java
+++ b/core/src/main/java/org/wingstall/core/queue/GrantIntervalEstimator.java
@@ -3,11 +3,11 @@
 import org.wingstall.core.time.MonotonicClock;
 
 /**
- * Measures how fast the waiters of each precedence are served, and reckons with that.
+ * Estimates waits from the measured mean interval between grants of each precedence.
  *
- * <p>A precedence that higher ones starve shows as a growing gap since its last grant, which no count of slots would tell; the
- * open gap counts as a sample of its own. Until something has been measured, and while nobody of the precedence waits, it
- * is the slots that count.
+ * <p>When higher precedences starve a lower one, the time since its last grant grows, which an estimate from the number
+ * of slots does not show; so the current, unfinished interval counts as a sample too. The slot-based estimate is used
+ * until an interval has been measured, and while no waiter of the precedence is queued.
  */
 final class GrantIntervalEstimator implements WaitEstimator {
     private static final int PRECEDENCE_LEVELS = 10;
--- a/core/src/main/java/org/wingstall/core/queue/PrecedenceQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/PrecedenceQueue.java
@@ -1,6 +1,9 @@
 package org.wingstall.core.queue;
 
-/** The highest precedence goes first; within it workspaces share by weight, and each workspace's earliest deadline. */
+/**
+ * Serves the highest precedence first; within a precedence, workspaces share by weight, and each workspace's waiters
+ * are ordered by deadline.
+ */
 final class PrecedenceQueue<W extends Waiter> implements WaitQueue<W> {
     private static final int PRECEDENCE_LEVELS = 10;
 
--- a/core/src/main/java/org/wingstall/core/queue/SlotEstimator.java
+++ b/core/src/main/java/org/wingstall/core/queue/SlotEstimator.java
@@ -1,6 +1,6 @@
 package org.wingstall.core.queue;
 
-/** Reckons with the slots and the time of one call alone. */
+/** Estimates waits only from the number of slots and the duration of one call. */
 final class SlotEstimator implements WaitEstimator {
     @Override
     public void recordWaiting(int precedence) {}
--- a/core/src/main/java/org/wingstall/core/queue/WaitEstimator.java
+++ b/core/src/main/java/org/wingstall/core/queue/WaitEstimator.java
@@ -4,9 +4,9 @@
 import org.wingstall.schema.settings.Policy;
 
 /**
- * Estimates how long a new waiter would wait for an endpoint of a service; not safe for several threads.
+ * Estimates how long a new waiter would wait for an endpoint of a service. Not thread-safe.
  *
- * <p>{@code estimate.waiting(3); estimate.granted(3); double waitMs = estimate.waitMs(3, bySlotsMs);}
+ * <p>{@code estimator.recordWaiting(3); estimator.recordGranted(3); double waitMs = estimator.waitMs(3, slotBasedMs);}
  *
  * @since 0.1
  */
@@ -14,27 +14,27 @@
     /** Records a new waiter. */
     void recordWaiting(int precedence);
 
-    /** Records that a waiter gave up. */
+    /** Records that a waiter left the queue without being served. */
     void recordAbandoned(int precedence);
 
-    /** Records that a waiter was served. */
+    /** Records that a waiter was granted an endpoint. */
     void recordGranted(int precedence);
 
     /**
-     * Estimates the wait of a new waiter while others wait.
+     * Estimates how long a new waiter would wait while others are queued.
      *
-     * @param precedence its precedence
-     * @param bySlotsMs time in which the slots serve those who go before it, in ms
-     * @return the wait, in ms
+     * @param precedence precedence of the new waiter
+     * @param slotBasedMs time that the slots need to serve all waiters ahead of it, in ms
+     * @return estimated wait, in ms
      */
     double waitMs(int precedence, double slotBasedMs);
 
     /**
-     * Makes the estimate that the settings name.
+     * Creates the estimator selected in the settings.
      *
-     * @param policy settings of the policy
+     * @param policy policy settings
      * @param clock monotonic clock
-     * @return an estimate without measurements
+     * @return an estimator without measurements
      */
     static WaitEstimator of(Policy policy, MonotonicClock clock) {
         return switch (policy.getWaitEstimate()) {
--- a/core/src/main/java/org/wingstall/core/queue/WaitQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/WaitQueue.java
@@ -3,7 +3,7 @@
 import org.wingstall.schema.settings.Policy;
 
 /**
- * Stages that wait for endpoints of one service, in the order in which they go; not safe for several threads.
+ * Queue of stages that wait for an endpoint of one service. Not thread-safe.
  *
  * <p>{@code WaitQueue<Waiter> queue = WaitQueue.of(policy);}
  *
@@ -14,22 +14,22 @@
     /** Adds a waiter. */
     void add(W waiter);
 
-    /** Removes and returns the waiter that goes next, or null when none waits. */
+    /** Removes and returns the next waiter, or null if the queue is empty. */
     W poll();
 
-    /** Removes a waiter that gave up; returns whether it was waiting. */
+    /** Removes a waiter that no longer waits; returns whether it was queued. */
     boolean remove(W waiter);
 
     /** Returns the number of waiters. */
     int size();
 
-    /** Returns the number of waiters that would go before a new one of the precedence. */
+    /** Returns the number of waiters that would be served before a new one of the given precedence. */
     int countAhead(int precedence);
 
     /**
-     * Makes the queue that the settings name.
+     * Creates the queue selected in the settings.
      *
-     * @param policy settings of the policy
+     * @param policy policy settings
      * @param <W> type of the waiters
      * @return an empty queue
      */
--- a/core/src/main/java/org/wingstall/core/queue/Waiter.java
+++ b/core/src/main/java/org/wingstall/core/queue/Waiter.java
@@ -8,10 +8,10 @@
  * @since 0.1
  */
 public interface Waiter {
-    /** Returns the order among pipelines; a higher one goes first. */
+    /** Returns the precedence of the pipeline; higher values are served first. */
     int precedence();
 
-    /** Returns the workspace that pays for the stage. */
+    /** Returns the workspace that is charged for the stage. */
     String workspace();
 
     /** Returns the weight of the workspace. */
--- a/core/src/main/java/org/wingstall/core/queue/WorkspaceFairQueue.java
+++ b/core/src/main/java/org/wingstall/core/queue/WorkspaceFairQueue.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Start-time fair queueing over workspaces; a workspace's own waiters go by deadline. */
+/** Schedules waiters by start-time fair queueing over workspaces; waiters of one workspace are ordered by deadline. */
 final class WorkspaceFairQueue<W extends Waiter> {
     private static final int MAX_RETAINED_FLOWS = 1024;
 
     private final Map<String, WorkspaceFlow<W>> flows = new HashMap<>();
     private final TreeSet<WorkspaceFlow<W>> backlogged = new TreeSet<>(
-            Comparator.<WorkspaceFlow<W>>comparingDouble(lane -> lane.startTime).thenComparing(lane -> lane.name));
+            Comparator.<WorkspaceFlow<W>>comparingDouble(flow -> flow.startTime).thenComparing(flow -> flow.name));
     private double virtualTime;
     private long sequence;
     private int size;
--- a/core/src/test/java/org/wingstall/core/queue/GrantIntervalEstimatorTest.java
+++ b/core/src/test/java/org/wingstall/core/queue/GrantIntervalEstimatorTest.java
@@ -8,59 +8,59 @@
 import org.testng.annotations.Test;
 
 public class GrantIntervalEstimatorTest {
-    private static final double BY_SLOTS_MS = 777;
+    private static final double SLOT_BASED_MS = 777;
 
     private final AtomicLong nowMs = new AtomicLong();
-    private GrantIntervalEstimator pace;
+    private GrantIntervalEstimator estimator;
 
     @BeforeMethod
     public void create() {
-        pace = new GrantIntervalEstimator(() -> TimeUnit.MILLISECONDS.toNanos(nowMs.get()));
+        estimator = new GrantIntervalEstimator(() -> TimeUnit.MILLISECONDS.toNanos(nowMs.get()));
     }
 
-    private void serve(int precedence, int grants, long gapMs) {
+    private void grant(int precedence, int grants, long intervalMs) {
         for (int i = 0; i < grants; i++) {
-            nowMs.addAndGet(gapMs);
-            pace.recordGranted(precedence);
+            nowMs.addAndGet(intervalMs);
+            estimator.recordGranted(precedence);
         }
     }
 
     @Test
-    public void theSlotsCountUntilSomethingWasMeasured() {
-        pace.recordWaiting(3);
-        assertEquals(pace.waitMs(3, BY_SLOTS_MS), BY_SLOTS_MS);
-        assertEquals(pace.waitMs(7, BY_SLOTS_MS), BY_SLOTS_MS);
+    public void usesSlotBasedWaitUntilFirstMeasurement() {
+        estimator.recordWaiting(3);
+        assertEquals(estimator.waitMs(3, SLOT_BASED_MS), SLOT_BASED_MS);
+        assertEquals(estimator.waitMs(7, SLOT_BASED_MS), SLOT_BASED_MS);
     }
 
     @Test
-    public void aNewWaiterWaitsForAllBeforeItAtTheMeasuredPace() {
+    public void waitGrowsWithWaitersAndMeanInterval() {
         for (int i = 0; i < 20; i++) {
-            pace.recordWaiting(3);
+            estimator.recordWaiting(3);
         }
-        serve(3, 10, 20);
-        assertEquals(pace.waitMs(3, BY_SLOTS_MS), 11 * 20.0, 1e-6);
-        assertEquals(pace.waitMs(7, BY_SLOTS_MS), BY_SLOTS_MS, "another precedence has a pace of its own");
+        grant(3, 10, 20);
+        assertEquals(estimator.waitMs(3, SLOT_BASED_MS), 11 * 20.0, 1e-6);
+        assertEquals(estimator.waitMs(7, SLOT_BASED_MS), SLOT_BASED_MS, "each precedence has its own mean interval");
     }
 
     @Test
-    public void aStarvedPrecedenceIsToldToWaitLongerAndLonger() {
+    public void waitGrowsWhilePrecedenceIsStarved() {
         for (int i = 0; i < 20; i++) {
-            pace.recordWaiting(3);
+            estimator.recordWaiting(3);
         }
-        serve(3, 10, 20);
-        double before = pace.waitMs(3, BY_SLOTS_MS);
+        grant(3, 10, 20);
+        double before = estimator.waitMs(3, SLOT_BASED_MS);
         nowMs.addAndGet(1020);
-        assertEquals(pace.waitMs(3, BY_SLOTS_MS), before + 11 * 100.0, 1e-6);
+        assertEquals(estimator.waitMs(3, SLOT_BASED_MS), before + 11 * 100.0, 1e-6);
     }
 
     @Test
-    public void theTimeInWhichNobodyWaitedIsNoGap() {
-        pace.recordWaiting(3);
-        serve(3, 1, 20);
+    public void timeWithoutWaitersIsNotCounted() {
+        estimator.recordWaiting(3);
+        grant(3, 1, 20);
         nowMs.addAndGet(60_000);
-        pace.recordWaiting(3);
-        serve(3, 1, 20);
-        pace.recordWaiting(3);
-        assertEquals(pace.waitMs(3, BY_SLOTS_MS), 2 * 20.0, 1e-6);
+        estimator.recordWaiting(3);
+        grant(3, 1, 20);
+        estimator.recordWaiting(3);
+        assertEquals(estimator.waitMs(3, SLOT_BASED_MS), 2 * 20.0, 1e-6);
     }
 }
--- a/core/src/test/java/org/wingstall/core/queue/WaitQueueTest.java
+++ b/core/src/test/java/org/wingstall/core/queue/WaitQueueTest.java
@@ -13,7 +13,7 @@
     private final WaitQueue<Entry> queue = new PrecedenceQueue<>();
 
     @Test
-    public void higherPrecedenceGoesFirst() {
+    public void servesHigherPrecedenceFirst() {
         Entry low = new Entry(1, "a", 1, 10);
         Entry high = new Entry(7, "a", 1, 99);
         queue.add(low);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void workspacesShareByWeightHoweverMuchOneSends() {
+    public void workspacesShareByWeightRegardlessOfQueueLength() {
         WaitQueue<Entry> shared = new PrecedenceQueue<>();
         for (int i = 0; i < 300; i++) {
             shared.add(new Entry(3, "large", 1, i));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void aWorkspaceGoesByDeadlineAndGivesUpWhatIsRemoved() {
+    public void servesEarliestDeadlineFirstAndSkipsRemovedWaiters() {
         WaitQueue<Entry> one = new PrecedenceQueue<>();
         Entry late = new Entry(2, "w", 1, 900);
         Entry soon = new Entry(2, "w", 1, 100);
