--- a/core/src/main/java/org/wingstall/core/route/Candidate.java
+++ b/core/src/main/java/org/wingstall/core/route/Candidate.java
@@ -1,14 +1,14 @@
 package org.wingstall.core.route;
 
 /**
- * An endpoint that may take a call, with the limits that hold for it now.
+ * An endpoint that may receive a call, with its current limits.
  *
  * <p>{@code new Candidate(endpoint, 4, 16, 1.0)}
  *
  * @param endpoint the endpoint
- * @param window most calls of this gateway at once
- * @param slots calls that the endpoint works on at once, from all gateways
- * @param speed speed of its box class relative to others
+ * @param window maximum number of concurrent calls from this gateway
+ * @param slots number of calls, from all gateways, that the endpoint processes concurrently
+ * @param speed relative speed of its box class
  * @since 0.1
  */
 public record Candidate(EndpointState endpoint, int window, int slots, double speed) {}
--- a/core/src/main/java/org/wingstall/core/route/EndpointIdentity.java
+++ b/core/src/main/java/org/wingstall/core/route/EndpointIdentity.java
@@ -5,16 +5,16 @@
 import org.wingstall.schema.platform.Member;
 
 /**
- * Who and where an endpoint is.
+ * Identifies an incarnation of an endpoint and where it runs.
  *
  * <p>{@code new EndpointIdentity("llm-3", 7, "kgn-a", "wingstall-llm", "a100", address)}
  *
  * @param memberId identifier in the membership list
- * @param incarnation grows when the endpoint starts anew
+ * @param incarnation increases with each restart of the endpoint
  * @param failureDomain failure domain of its box
- * @param service service that it runs
+ * @param service service that the endpoint runs
  * @param boxClass class of its box
- * @param address where it listens
+ * @param address address that the endpoint listens on
  * @since 0.1
  */
 public record EndpointIdentity(
@@ -24,7 +24,7 @@
         String service,
         String boxClass,
         InetSocketAddress address) {
-    /** Returns who and where a member of the list is. */
+    /** Returns the identity of a member of the membership list. */
     public static EndpointIdentity of(Member member) {
         return new EndpointIdentity(
                 member.getMemberId(),
--- a/core/src/main/java/org/wingstall/core/route/EndpointState.java
+++ b/core/src/main/java/org/wingstall/core/route/EndpointState.java
@@ -6,7 +6,8 @@
 import org.wingstall.core.time.MonotonicClock;
 
 /**
- * What a gateway knows of one incarnation of an endpoint; safe for use from all event loops without locks.
+ * Tracks the calls, failures and load of one incarnation of an endpoint, as seen by this gateway. Thread-safe and
+ * lock-free, except for {@link #prefixes()}.
  *
  * <p>{@code if (endpoint.tryAcquire(window)) { call(endpoint); } ... endpoint.release();}
  *
@@ -32,17 +33,17 @@
     private record Report(int inFlight, int ownAtReport, long atMs) {}
 
     /**
-     * Creates the state of an endpoint that has not been called yet.
+     * Creates the state of an endpoint that has not received any calls.
      *
-     * @param identity who and where the endpoint is
-     * @param clock clock that reports age by
+     * @param identity identity of the endpoint
+     * @param clock clock that determines the age of load reports
      */
     public EndpointState(EndpointIdentity identity, MonotonicClock clock) {
         this.identity = identity;
         this.clock = clock;
     }
 
-    /** Returns who and where the endpoint is. */
+    /** Returns the identity of the endpoint. */
     public EndpointIdentity identity() {
         return identity;
     }
@@ -52,16 +53,16 @@
         return identity.address();
     }
 
-    /** Returns the calls of this gateway in flight there. */
+    /** Returns the number of calls from this gateway in flight at the endpoint. */
     public int inFlight() {
         return inFlight.get();
     }
 
     /**
-     * Takes a slot if this gateway has fewer calls there than its window.
+     * Acquires a slot if this gateway has fewer calls in flight at the endpoint than its window allows.
      *
-     * @param window most calls of this gateway at once
-     * @return whether a slot was taken
+     * @param window maximum number of concurrent calls from this gateway
+     * @return whether a slot was acquired
      */
     public boolean tryAcquire(int window) {
         while (true) {
@@ -75,15 +76,15 @@
         }
     }
 
-    /** Gives a slot back. */
+    /** Releases a slot. */
     public void release() {
         inFlight.decrementAndGet();
     }
 
     /**
-     * Records a call that was answered.
+     * Records a call that was completed with a response, which also ends an ejection.
      *
-     * @param runMs time from call to answer, in ms
+     * @param runMs time from the call to its response, in ms
      */
     public void recordSuccess(double runMs) {
         recordActivity();
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Records a call that failed at the endpoint or was not answered in time.
+     * Records a call that failed at the endpoint or got no response in time.
      *
-     * @param ejectAfterFailures failures in a row after which the endpoint gets no work
+     * @param ejectAfterFailures number of consecutive failures after which the endpoint is ejected
      * @return whether this failure ejected the endpoint
      */
     public boolean recordFailure(int ejectAfterFailures) {
@@ -108,32 +109,32 @@
         return eject;
     }
 
-    /** Records a token, to whichever call; {@link #recordSuccess} does so for an answer. */
+    /** Records that a token of any call was received; {@link #recordSuccess} does the same for a response. */
     public void recordActivity() {
         lastActivityMs.set(clock.nowMs());
     }
 
-    /** Returns the time since the last token or answer to any call of this gateway, in ms. */
+    /** Returns the time since the last token of, or response to, any call from this gateway, in ms. */
     public long activityAgeMs() {
         return clock.nowMs() - lastActivityMs.get();
     }
 
-    /** Records a probe that ran; the endpoint gets work again. */
+    /** Records a successful probe; the endpoint is no longer ejected. */
     public void recordProbeSuccess() {
         consecutiveFailures.set(0);
         ejected = false;
     }
 
     /**
-     * Records what the endpoint said of its load.
+     * Records the load that the endpoint reported.
      *
-     * @param reportedInFlight calls there from all gateways
+     * @param reportedInFlight calls in flight at the endpoint from all gateways
      */
     public void recordReportedLoad(int reportedInFlight) {
         report = new Report(reportedInFlight, inFlight.get(), clock.nowMs());
     }
 
-    /** Marks the endpoint as leaving; this incarnation stays so. */
+    /** Marks the endpoint as leaving; permanent for this incarnation. */
     public void markLeaving() {
         leaving = true;
     }
@@ -143,40 +144,40 @@
         return leaving;
     }
 
-    /** Returns whether the endpoint gets no work until a probe ran there. */
+    /** Returns whether the endpoint is ejected, so that it receives no work until a call or probe succeeds. */
     public boolean ejected() {
         return ejected;
     }
 
-    /** Returns whether new work may go there. */
+    /** Returns whether the endpoint may receive new work. */
     public boolean serving() {
         return !leaving && !ejected;
     }
 
-    /** Returns the mean time of a call there, in ms; 0 when none has been measured. */
+    /** Returns the mean duration of a call to the endpoint, in ms; 0 if none has been measured. */
     public double meanRunMs() {
         return meanRunMs;
     }
 
-    /** Returns the age of the last answered call, in ms. */
+    /** Returns the time since the last response, in ms. */
     public long completionAgeMs() {
         return clock.nowMs() - lastCompletionMs.get();
     }
 
     /**
-     * Estimates the calls there: this gateway's own, and others' by the last report, which counts half for every second
-     * of its age.
+     * Estimates the calls in flight at the endpoint: those of this gateway, plus those of other gateways from the last
+     * load report, whose weight halves with every second of its age.
      *
      * @return estimated calls in flight from all gateways
      */
     public double estimatedLoad() {
-        Report last = report;
-        double othersAtReport = Math.max(0, last.inFlight() - last.ownAtReport());
-        double ageMs = clock.nowMs() - last.atMs();
+        Report lastReport = report;
+        double othersAtReport = Math.max(0, lastReport.inFlight() - lastReport.ownAtReport());
+        double ageMs = clock.nowMs() - lastReport.atMs();
         return inFlight.get() + othersAtReport * Math.pow(0.5, ageMs / REPORT_HALF_LIFE_MS);
     }
 
-    /** Returns the memory of prompt prefixes sent there. */
+    /** Returns the tracker of prompt prefixes sent to the endpoint. */
     public PrefixTracker prefixes() {
         return prefixes;
     }
--- a/core/src/main/java/org/wingstall/core/route/ExpectedTimeRouter.java
+++ b/core/src/main/java/org/wingstall/core/route/ExpectedTimeRouter.java
@@ -4,8 +4,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes the candidate with the fewest expected ms: its measured time, scaled by the load that would stand before the
- * call, less the credit for the prompt blocks it has read beyond those that the least warm candidate has read.
+ * Chooses the candidate with the lowest expected time: its mean measured call time, scaled by the load including the
+ * new call, minus a credit for each leading prompt block that it has already processed beyond the minimum over all
+ * candidates.
  */
 final class ExpectedTimeRouter implements Router {
     private static final double CROSS_DOMAIN_PENALTY_MS = 2;
@@ -23,12 +24,12 @@
 
     @Override
     public EndpointState choose(List<Candidate> candidates, RouteRequest request) {
-        int[] warm = warmBlocks(candidates, request);
-        int minWarm = min(warm);
+        int[] warmCounts = countWarmBlocks(candidates, request);
+        int minWarm = min(warmCounts);
         EndpointState best = null;
         double bestMs = Double.MAX_VALUE;
         for (int i = 0; i < candidates.size(); i++) {
-            double cacheCreditMs = (warm[i] - minWarm) * blockMs;
+            double cacheCreditMs = (warmCounts[i] - minWarm) * blockMs;
             double ms = expectedMs(candidates.get(i), request) - cacheCreditMs;
             if (best == null || ms < bestMs) {
                 best = candidates.get(i).endpoint();
@@ -48,22 +49,22 @@
         return base * (1 + load) * (1 + JITTER_RATIO * random.nextDouble()) + crossDomainMs;
     }
 
-    private int[] warmBlocks(List<Candidate> candidates, RouteRequest request) {
-        int[] warm = new int[candidates.size()];
+    private int[] countWarmBlocks(List<Candidate> candidates, RouteRequest request) {
+        int[] warmCounts = new int[candidates.size()];
         if (!prefixAffinity || request.prefixDigests().length == 0) {
-            return warm;
+            return warmCounts;
         }
-        for (int i = 0; i < warm.length; i++) {
-            warm[i] = candidates.get(i).endpoint().prefixes().countWarmBlocks(request.prefixDigests());
+        for (int i = 0; i < warmCounts.length; i++) {
+            warmCounts[i] = candidates.get(i).endpoint().prefixes().countWarmBlocks(request.prefixDigests());
         }
-        return warm;
+        return warmCounts;
     }
 
     private static int min(int[] counts) {
-        int least = Integer.MAX_VALUE;
+        int min = Integer.MAX_VALUE;
         for (int count : counts) {
-            least = Math.min(least, count);
+            min = Math.min(min, count);
         }
-        return least;
+        return min;
     }
 }
--- a/core/src/main/java/org/wingstall/core/route/LeastInFlightRouter.java
+++ b/core/src/main/java/org/wingstall/core/route/LeastInFlightRouter.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Takes the candidate with the fewest calls of this gateway; a baseline. */
+/** Chooses the candidate with the fewest calls in flight from this gateway; a baseline. */
 final class LeastInFlightRouter implements Router {
     private final RandomGenerator random;
 
--- a/core/src/main/java/org/wingstall/core/route/PowerOfTwoRouter.java
+++ b/core/src/main/java/org/wingstall/core/route/PowerOfTwoRouter.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Takes the less loaded of two random candidates; a baseline. */
+/** Chooses the less loaded of two random candidates; a baseline. */
 final class PowerOfTwoRouter implements Router {
     private final RandomGenerator random;
 
--- a/core/src/main/java/org/wingstall/core/route/PrefixTracker.java
+++ b/core/src/main/java/org/wingstall/core/route/PrefixTracker.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Remembers the prompt blocks last sent to an endpoint, least recently used out first.
+ * Tracks the prompt blocks recently sent to an endpoint and evicts the least recently used ones.
  *
- * <p>{@code int warm = memory.warmBlocks(PromptBlocks.digests(prompt));}
+ * <p>{@code int warm = tracker.countWarmBlocks(PromptBlocks.digests(prompt));}
  *
  * @since 0.1
  */
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Counts the leading blocks of a prompt that were sent before.
+     * Counts the leading blocks of a prompt that were sent to the endpoint before.
      *
-     * @param digests digests of the prompt's blocks, each over all blocks up to its own
-     * @return number of leading blocks known
+     * @param digests digests of the prompt's blocks, each over all blocks up to and including its own
+     * @return number of leading blocks that are tracked
      */
     public synchronized int countWarmBlocks(long[] digests) {
         int count = 0;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Remembers the blocks of a prompt.
+     * Records that the blocks of a prompt were sent.
      *
      * @param digests digests of the prompt's blocks
      */
--- a/core/src/main/java/org/wingstall/core/route/PromptBlocks.java
+++ b/core/src/main/java/org/wingstall/core/route/PromptBlocks.java
@@ -4,26 +4,26 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Cuts a prompt into blocks and digests each together with all blocks before it.
+ * Splits a prompt into blocks and computes a digest of each block together with all blocks before it.
  *
  * <p>{@code long[] digests = PromptBlocks.digests("You are a kitchen planner. ...");}
  *
  * @since 0.1
  */
 public final class PromptBlocks {
-    /** Characters in a block. */
+    /** Number of characters in a block. */
     public static final int BLOCK_CHARS = 256;
 
-    /** Most blocks that are told apart. */
+    /** Maximum number of blocks that get a digest. */
     public static final int MAX_BLOCKS = 64;
 
     private PromptBlocks() {}
 
     /**
-     * Returns the digests of a prompt's whole blocks.
+     * Returns the digests of a prompt's complete blocks.
      *
      * @param prompt text of the prompt
-     * @return one digest for each whole block, at most {@link #MAX_BLOCKS}
+     * @return one digest for each complete block, at most {@link #MAX_BLOCKS}
      */
     public static long[] digests(CharSequence prompt) {
         int count = Math.min(MAX_BLOCKS, prompt.length() / BLOCK_CHARS);
--- a/core/src/main/java/org/wingstall/core/route/RoundRobinRouter.java
+++ b/core/src/main/java/org/wingstall/core/route/RoundRobinRouter.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Takes the candidates in turn; a baseline. */
+/** Chooses the candidates in rotation; a baseline. */
 final class RoundRobinRouter implements Router {
     private final AtomicInteger next = new AtomicInteger();
 
--- a/core/src/main/java/org/wingstall/core/route/Router.java
+++ b/core/src/main/java/org/wingstall/core/route/Router.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Chooses the endpoint for a call among those that may take it.
+ * Chooses the endpoint that receives a call.
  *
- * <p>{@code EndpointState chosen = router.choose(candidates, new RouteRequest("kgn-a", digests));}
+ * <p>{@code EndpointState chosen = router.choose(candidates, new RouteRequest("kgn-a", 120, digests));}
  *
  * @since 0.1
  */
@@ -13,8 +13,8 @@
     /**
      * Chooses an endpoint.
      *
-     * @param candidates endpoints that may take the call, at least one
-     * @param request what the call is
+     * @param candidates endpoints that may receive the call, at least one
+     * @param request description of the call
      * @return one of the candidates
      */
     EndpointState choose(List<Candidate> candidates, RouteRequest request);
--- a/core/src/main/java/org/wingstall/core/route/Routers.java
+++ b/core/src/main/java/org/wingstall/core/route/Routers.java
@@ -4,23 +4,23 @@
 import org.wingstall.schema.settings.Policy;
 
 /**
- * Makes the router that the settings name.
+ * Creates the router selected in the settings.
  *
  * <p>{@code Router router = Routers.of(settings.getPolicy(), ThreadLocalRandom.current());}
  *
  * @since 0.1
  */
 public final class Routers {
-    /** Time that an engine needs to read one block of a prompt, in ms; what a warm block saves. */
+    /** Time that an engine needs to process one block of a prompt, in ms; a warm block saves this time. */
     private static final double PREFIX_BLOCK_MS = 2;
 
     private Routers() {}
 
     /**
-     * Returns a router.
+     * Creates a router.
      *
-     * @param policy settings of the policy
-     * @param random source of chance, safe for several threads
+     * @param policy policy settings
+     * @param random random generator, thread-safe
      * @return the router
      */
     public static Router of(Policy policy, RandomGenerator random) {
--- a/core/src/test/java/org/wingstall/core/route/RouterTest.java
+++ b/core/src/test/java/org/wingstall/core/route/RouterTest.java
@@ -23,22 +23,22 @@
         return new Candidate(endpoint, 8, 8, 1);
     }
 
-    private static Router expectedTime() {
+    private static Router expectedTimeRouter() {
         return new ExpectedTimeRouter(new Random(1), true, 2);
     }
 
     @Test
-    public void expectedTimePrefersTheFasterOfTwoIdleEndpoints() {
+    public void choosesFasterOfTwoIdleEndpoints() {
         EndpointState slow = endpoint("slow");
         EndpointState fast = endpoint("fast");
         slow.recordSuccess(90);
         fast.recordSuccess(30);
-        Router router = expectedTime();
+        Router router = expectedTimeRouter();
         assertEquals(router.choose(List.of(candidate(slow), candidate(fast)), new RouteRequest("d", 50, NONE)), fast);
     }
 
     @Test
-    public void aPromptReadByAllGivesNobodyCredit() {
+    public void promptSentToAllEndpointsGivesNoCredit() {
         String prompt = "shared ".repeat(200);
         EndpointState busy = endpoint("busy");
         EndpointState idle = endpoint("idle");
@@ -48,11 +48,11 @@
         idle.prefixes().recordSent(PromptBlocks.digests(prompt));
         assertTrue(busy.tryAcquire(8));
         RouteRequest request = new RouteRequest("d", 40, PromptBlocks.digests(prompt));
-        assertEquals(expectedTime().choose(List.of(candidate(busy), candidate(idle)), request), idle);
+        assertEquals(expectedTimeRouter().choose(List.of(candidate(busy), candidate(idle)), request), idle);
     }
 
     @Test
-    public void aPromptReadByOneDrawsTheCallThere() {
+    public void choosesBusierEndpointWithWarmPrompt() {
         String prompt = "session seven ".repeat(400);
         EndpointState warm = endpoint("warm");
         EndpointState cold = endpoint("cold");
@@ -61,11 +61,11 @@
         warm.prefixes().recordSent(PromptBlocks.digests(prompt));
         assertTrue(warm.tryAcquire(8));
         RouteRequest request = new RouteRequest("d", 40, PromptBlocks.digests(prompt));
-        assertEquals(expectedTime().choose(List.of(candidate(warm), candidate(cold)), request), warm);
+        assertEquals(expectedTimeRouter().choose(List.of(candidate(warm), candidate(cold)), request), warm);
     }
 
     @Test
-    public void reportedLoadOfOthersDecaysWithItsAge() {
+    public void reportedLoadOfOtherGatewaysDecaysWithAge() {
         EndpointState state = endpoint("e");
         state.recordReportedLoad(8);
         assertEquals(state.estimatedLoad(), 8.0, 0.01);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void failuresInARowEjectAndARealCompletionBringsBack() {
+    public void consecutiveFailuresEjectAndSuccessReadmits() {
         EndpointState state = endpoint("e");
         assertFalse(state.recordFailure(2));
         assertTrue(state.recordFailure(2));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aWindowIsNeverExceeded() {
+    public void windowIsNeverExceeded() {
         EndpointState state = endpoint("e");
         assertTrue(state.tryAcquire(2));
         assertTrue(state.tryAcquire(2));
