--- a/core/src/main/java/org/wingstall/core/time/Jitter.java
+++ b/core/src/main/java/org/wingstall/core/time/Jitter.java
@@ -1,7 +1,7 @@
 package org.wingstall.core.time;
 
 /**
- * Spreads periodic work, so that boxes that started together don't act together.
+ * Randomizes intervals of periodic work, so that boxes that started together do not run it at the same time.
  *
  * <p>{@code long delayMs = Jitter.around(2000, random.nextDouble());} is between 1,800 and 2,200.
  *
@@ -13,10 +13,10 @@
     private Jitter() {}
 
     /**
-     * Returns a time near an interval.
+     * Returns a randomized interval.
      *
      * @param intervalMs the interval, in ms
-     * @param random a number in [0, 1)
+     * @param random random number in [0, 1)
      * @return between 90% and 110% of the interval, in ms
      */
     public static long around(long intervalMs, double random) {
--- a/core/src/main/java/org/wingstall/core/time/MonotonicClock.java
+++ b/core/src/main/java/org/wingstall/core/time/MonotonicClock.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A clock that never goes back; decisions take their time from it alone.
+ * A clock that never goes backwards and is the only source of time for decisions.
  *
  * <p>{@code MonotonicClock clock = System::nanoTime;}
  *
