--- a/core/src/test/java/org/wingstall/core/CoreDependenciesTest.java
+++ b/core/src/test/java/org/wingstall/core/CoreDependenciesTest.java
@@ -26,12 +26,12 @@
     }
 
     @Test(dataProvider = "forbidden")
-    public void coreKnowsNothingOf(String packages) {
+    public void coreDoesNotDependOn(String packages) {
         noClasses().should().dependOnClassesThat().resideInAPackage(packages).check(core);
     }
 
     @Test
-    public void coreTakesItsTimeFromItsArguments() {
+    public void coreDoesNotReadSystemClock() {
         noClasses().should().callMethod(System.class, "currentTimeMillis").check(core);
         noClasses().should().callMethod(System.class, "nanoTime").check(core);
     }
