--- a/core/src/main/java/org/wingstall/core/quarantine/CrashRecord.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/CrashRecord.java
@@ -7,47 +7,50 @@
 import org.wingstall.schema.peer.CrashReport;
 
 /**
- * The endpoints that ended under one request. Records of several boxes add up to the same one in whatever order they come: sets
- * only grow, and what was withdrawn stays so.
+ * Holds the endpoints that were lost while they ran one request. Boxes that merge the same reports in any order get the
+ * same record: both sets only grow, and a withdrawn loss stays withdrawn.
  *
- * @param losses incarnations that ended under it
- * @param withdrawn incarnations of which that turned out wrong
- * @param lastAtMs when the last loss became known, in ms of the monotonic clock
+ * @param losses endpoint incarnations that were lost while they ran the request
+ * @param withdrawn incarnations whose loss was withdrawn, because it was wrong or the request was cleared
+ * @param lastLossAtMs when the most recent loss was observed, in ms of the monotonic clock
  */
 record CrashRecord(Set<String> losses, Set<String> withdrawn, long lastLossAtMs) {
-    /** Incarnations that a record keeps: several times the losses that decide. */
+    /** Maximum number of incarnations in each set: several times the losses that cause a quarantine. */
     private static final int MAX_INCARNATIONS = 32;
 
     static final CrashRecord EMPTY = new CrashRecord(Set.of(), Set.of(), Long.MIN_VALUE / 2);
 
-    /** Returns a record with the losses that a report adds, and without those that it withdraws. */
+    /** Returns this record merged with the losses and the withdrawn losses of a report. */
     CrashRecord merge(CrashReport report, long nowMs) {
         Set<String> allLosses = union(losses, report.getLosses());
-        // A report that only withdraws losses says nothing of when they came.
+        // A report that only withdraws losses does not say when they occurred.
         long reportedAtMs = report.getLosses().isEmpty() ? lastLossAtMs : nowMs - report.getAgeMs();
         return new CrashRecord(
                 allLosses, union(withdrawn, report.getWithdrawn()), Math.max(lastLossAtMs, reportedAtMs));
     }
 
-    /** A full set takes no more: if older ones gave way, boxes that dropped different ones would tell each other for ever. */
+    /**
+     * Returns the union; a full set accepts no more entries. If it evicted old ones, boxes that evicted different
+     * entries would keep sending them to each other forever.
+     */
     private static Set<String> union(Set<String> known, Collection<String> more) {
         Set<String> all = new LinkedHashSet<>(known);
         more.stream().filter(incarnation -> all.size() < MAX_INCARNATIONS).forEach(all::add);
         return all;
     }
 
-    /** Returns the losses that count. */
+    /** Returns the number of losses that have not been withdrawn. */
     int activeLossCount() {
-        int standing = 0;
+        int count = 0;
         for (String incarnation : losses) {
             if (!withdrawn.contains(incarnation)) {
-                standing++;
+                count++;
             }
         }
-        return standing;
+        return count;
     }
 
-    /** Returns whether it takes no more losses. */
+    /** Returns whether the record can store no more losses. */
     boolean isFull() {
         return losses.size() >= MAX_INCARNATIONS;
     }
--- a/core/src/main/java/org/wingstall/core/quarantine/CrashRecordStore.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/CrashRecordStore.java
@@ -9,16 +9,20 @@
 import org.wingstall.schema.peer.CrashReport;
 
 /**
- * Which endpoints ended under which requests, as this box saw it and others told it. Bounded in number; not safe for use on
- * several threads.
+ * Stores which endpoints were lost while they ran which requests, as observed by this box or reported by others.
+ * Bounded in size; not thread-safe.
  */
 final class CrashRecordStore {
-    /** Requests that are remembered; each takes some hundred bytes, and a lost endpoint leaves at most what it ran at once. */
+    /**
+     * Maximum number of requests; each takes a few hundred bytes, and a lost endpoint adds at most the requests that it
+     * ran concurrently.
+     */
     private static final int MAX_REQUESTS = 2000;
 
     /**
-     * Time after the last loss for which a request that is not held back stays suspected, in ms: a request that crashes
-     * endpoints comes again within seconds, and a later loss of an unlucky one is another matter.
+     * Time after the last loss for which a request that is not quarantined stays suspected, in ms. A request that
+     * crashes endpoints is repeated within seconds; a later loss of a harmless request is unrelated and must not be
+     * added.
      */
     private static final long SUSPICION_MS = 120_000;
 
@@ -28,13 +32,13 @@
         return records.isEmpty();
     }
 
-    /** Returns what is known of a request; nothing of one that was never suspected or lately no more. */
+    /** Returns the record of a request; an empty one if the request was never suspected or its record has expired. */
     CrashRecord find(Fingerprint request, long nowMs) {
         CrashRecord record = records.getOrDefault(request, CrashRecord.EMPTY);
         return expired(record, nowMs) ? CrashRecord.EMPTY : record;
     }
 
-    /** Adds a report; returns all that is known of its request since, or nothing when the report told nothing new. */
+    /** Merges a report; returns a report of the merged record, or empty if the report contained nothing new. */
     Optional<CrashReport> add(CrashReport report, long nowMs) {
         Fingerprint request = new Fingerprint(report.getFingerprint());
         CrashRecord before = find(request, nowMs);
@@ -49,7 +53,7 @@
         return Optional.of(after.toReport(request, nowMs));
     }
 
-    /** Returns the requests under which an incarnation ended, as far as it is known. */
+    /** Returns the requests that have an active loss of an endpoint incarnation. */
     List<Fingerprint> requestsLostWith(String incarnation) {
         return records.entrySet().stream()
                 .filter(entry -> entry.getValue().losses().contains(incarnation))
@@ -72,26 +76,29 @@
         records.values().removeIf(record -> expired(record, nowMs));
     }
 
-    /** Drops the least suspected, and of those the oldest; a tenth at once, since each time takes a look at all. */
+    /**
+     * Removes the records with the fewest active losses, and of those the oldest; a tenth at a time, since each
+     * eviction scans all records.
+     */
     private void evict(long nowMs) {
         removeExpired(nowMs);
-        int tooMany = records.size() - MAX_REQUESTS;
-        if (tooMany > 0) {
-            List<Fingerprint> least = records.entrySet().stream()
+        int excess = records.size() - MAX_REQUESTS;
+        if (excess > 0) {
+            List<Fingerprint> evicted = records.entrySet().stream()
                     .sorted(Comparator.comparingInt((Map.Entry<Fingerprint, CrashRecord> entry) ->
                                     entry.getValue().activeLossCount())
                             .thenComparingLong(entry -> entry.getValue().lastLossAtMs()))
-                    .limit(tooMany + MAX_REQUESTS / 10)
+                    .limit(excess + MAX_REQUESTS / 10)
                     .map(Map.Entry::getKey)
                     .toList();
-            least.forEach(records::remove);
+            evicted.forEach(records::remove);
         }
     }
 
     private static boolean expired(CrashRecord record, long nowMs) {
-        long keptMs = record.activeLossCount() >= Quarantine.QUARANTINE_THRESHOLD
+        long retentionMs = record.activeLossCount() >= Quarantine.QUARANTINE_THRESHOLD
                 ? Quarantine.REPORT_RETENTION_MS
                 : SUSPICION_MS;
-        return nowMs - record.lastLossAtMs() >= keptMs;
+        return nowMs - record.lastLossAtMs() >= retentionMs;
     }
 }
--- a/core/src/main/java/org/wingstall/core/quarantine/Fingerprint.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/Fingerprint.java
@@ -5,8 +5,8 @@
 import java.util.HexFormat;
 
 /**
- * What makes two requests the same one, whichever box they come to and whatever identifier they carry: caller, method, path and
- * body. The body itself is not kept.
+ * Identifies requests with equal content, whichever box receives them and whatever request identifier they carry: a
+ * hash of workspace, method, path with query, and body. The body itself is not stored.
  *
  * <p>{@code Fingerprint.of("canteen", "POST", "/menu?day=3", body).hex()}
  *
@@ -17,8 +17,8 @@
     /**
      * Returns the fingerprint of a request.
      *
-     * @param workspace holder of the caller's key; empty without one
-     * @param method HTTP method, or what stands for it
+     * @param workspace workspace of the caller's key; empty without one
+     * @param method HTTP method, or a substitute such as {@code STAGE}
      * @param target path and query
      * @param body the body
      */
--- a/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
@@ -15,44 +15,51 @@
 import org.wingstall.schema.peer.CrashTrial;
 
 /**
- * Holds back requests that crash the endpoints that run them, whichever boxes they come to. Safe for use on any thread.
+ * Refuses requests that crash the endpoints that run them, on whichever boxes they arrive. Thread-safe.
  *
- * <p>Every request that ran on an endpoint when it ended is suspected, and boxes add up what they saw. A whole answer
- * anywhere clears a request, and a whole answer of the endpoint shows that only a connection broke. After two losses a
- * request is on trial: one box sends it at a time, to an endpoint that no other suspect is tried on and that new work stays
- * away from, so that the third loss convicts the one that ran there. After three it is refused, for a time that doubles with
- * each further loss; then it is on trial again.
+ * <p>When the connection to an endpoint ends, every request that ran there becomes a suspect, and boxes merge the
+ * losses that they observed. A complete successful response on any box clears a request. A later complete response from
+ * the endpoint shows that only a connection broke and withdraws that loss. After two losses a request is sent only as a
+ * trial: one box sends it at a time, to an endpoint that runs no other trial and that new requests avoid, so that a
+ * third loss can be attributed to it. After three losses the request is refused, for a time that doubles with each
+ * further loss; then it is sent as a trial again.
  *
- * <p>{@code quarantine.hold(run::fingerprint).ifPresent(this::refuse); ... quarantine.lost(fingerprint, "i-7f3a@0");}
+ * <p>{@code quarantine.refusal(run::fingerprint).ifPresent(this::refuse); quarantine.endpointLost(fingerprint, "i-7f3a@0");}
  *
  * @since 0.7
  */
 public final class Quarantine {
-    /** Age from which a report is of no use to anybody, in ms: a day. */
+    /** Age after which a crash report has no effect and can be deleted, in ms: one day. */
     public static final long REPORT_RETENTION_MS = 86_400_000;
 
-    /** Losses from which a request is held back. */
+    /** Number of losses from which a request is quarantined. */
     static final int QUARANTINE_THRESHOLD = 3;
 
-    /** Time for which a request is held back after its third loss, in ms; operators who mend it earlier lift it. */
+    /**
+     * Time for which a request is quarantined after its third loss, in ms; an operator who fixes the cause earlier can
+     * lift the quarantine.
+     */
     private static final long INITIAL_QUARANTINE_MS = 600_000;
 
-    /** Doublings of that time, one for each further loss: up to ten hours. */
+    /** Maximum number of doublings of the quarantine time, one for each further loss: up to about ten hours. */
     private static final int MAX_DOUBLINGS = 6;
 
-    /** Time for which a trial counts when no end of it is heard, in ms; crashes come within a second of a run's begin. */
+    /**
+     * Time after which a trial is taken as ended although no end was received, in ms; crashes occur within a second
+     * after a run starts.
+     */
     private static final long TRIAL_TIMEOUT_MS = 5000;
 
-    /** Time for which the end of a trial is remembered, in ms: far longer than news is under way. */
+    /** Time for which the end of a trial is remembered, in ms: far longer than a message takes to reach all boxes. */
     private static final long ENDED_TRIAL_RETENTION_MS = 60_000;
 
-    /** When to come back while another box tries the same request, in ms. */
+    /** Retry hint while the same request is on trial elsewhere, in ms. */
     private static final long TRIAL_RETRY_AFTER_MS = 1000;
 
-    /** Pause between two looks for what has expired, in ms: a look goes over all that is remembered. */
+    /** Minimum time between two removals of expired entries, in ms: each one scans all entries. */
     private static final long EXPIRY_INTERVAL_MS = 1000;
 
-    /** Reports in one message; bounds a frame to some ten KB. */
+    /** Maximum number of reports in one message; limits a frame to about 10 KB. */
     private static final int MAX_REPORTS_PER_MESSAGE = 100;
 
     private final String boxId;
@@ -66,30 +73,30 @@
     private long startedTrials;
     private long lastExpiryMs = Long.MIN_VALUE / 2;
 
-    /** Whether nothing is suspected, as on most days: requests are not even hashed then. */
+    /** Whether there is neither a suspect nor a trial, which is the usual state: requests are not hashed then. */
     private volatile boolean idle = true;
 
-    /** Passes on what this box learns. */
+    /** Receives the messages and changes that a quarantine produces. */
     public interface Listener {
-        /** Tells all linked boxes, but for the one that it was heard from, which may be null. */
+        /** Sends a message to all linked boxes except the one that it came from, which may be null. */
         void broadcast(CrashNews news, String exceptBox);
 
-        /** Keeps a report where it outlives all boxes and reaches those without a link. */
+        /** Writes a report to the store, where it survives restarts of all boxes and reaches boxes without a link. */
         void persist(CrashReport report);
 
-        /** Records that a request is suspected, held back or cleared. */
-        void changed(CrashReport report, int standing);
+        /** Called when a request becomes suspected, quarantined or cleared. */
+        void changed(CrashReport report, int activeLosses);
     }
 
-    /** A suspected request that some box has sent. */
+    /** A suspected request that a box has sent to an endpoint. */
     private record Trial(String id, String endpoint, long untilMs) {}
 
     /**
-     * Creates a quarantine that holds nothing back.
+     * Creates an empty quarantine.
      *
      * @param boxId name of this box
      * @param clock monotonic clock
-     * @param listener passes on what this box learns
+     * @param listener receives messages and changes
      */
     public Quarantine(String boxId, MonotonicClock clock, Listener listener) {
         this.boxId = boxId;
@@ -97,20 +104,23 @@
         this.listener = listener;
     }
 
-    /** Returns why a request is not to be sent now; hashed only while something is suspected. */
+    /**
+     * Returns the refusal for a request that must not be sent now; the request is hashed only while there are suspects
+     * or trials.
+     */
     public Optional<QuarantineRefusal> refusal(Supplier<Fingerprint> request) {
         return idle ? Optional.empty() : refusal(request.get());
     }
 
     private synchronized Optional<QuarantineRefusal> refusal(Fingerprint request) {
         long nowMs = clock.nowMs();
-        CrashRecord record = crashRecords.find(request, nowMs);
-        long leftMs = remainingQuarantineMs(record, nowMs);
-        if (leftMs > 0) {
-            String detail = record.activeLossCount() + " endpoints ended while they ran this request";
-            return Optional.of(new QuarantineRefusal(Reason.QUARANTINED, detail, leftMs));
+        CrashRecord crashRecord = crashRecords.find(request, nowMs);
+        long remainingMs = remainingQuarantineMs(crashRecord, nowMs);
+        if (remainingMs > 0) {
+            String detail = crashRecord.activeLossCount() + " endpoints ended while they ran this request";
+            return Optional.of(new QuarantineRefusal(Reason.QUARANTINED, detail, remainingMs));
         }
-        if (needsTrial(record) && trials.containsKey(request)) {
+        if (needsTrial(crashRecord) && trials.containsKey(request)) {
             if (trials.get(request).untilMs() > nowMs) {
                 String detail = "endpoints ended while they ran this request, and one tries it now";
                 return Optional.of(new QuarantineRefusal(Reason.SUSPECT_ON_TRIAL, detail, TRIAL_RETRY_AFTER_MS));
@@ -121,41 +131,42 @@
     }
 
     private static long remainingQuarantineMs(CrashRecord record, long nowMs) {
-        int standing = record.activeLossCount();
-        if (standing < QUARANTINE_THRESHOLD) {
+        int activeLosses = record.activeLossCount();
+        if (activeLosses < QUARANTINE_THRESHOLD) {
             return 0;
         }
-        // A full record would not show what a further trial ended, so there is none.
-        long holdMs = record.isFull()
+        // A full record could not store the loss that a further trial causes, so the request gets no further trial.
+        long quarantineMs = record.isFull()
                 ? REPORT_RETENTION_MS
-                : INITIAL_QUARANTINE_MS << Math.min(MAX_DOUBLINGS, standing - QUARANTINE_THRESHOLD);
-        return Math.max(0, record.lastLossAtMs() + holdMs - nowMs);
+                : INITIAL_QUARANTINE_MS << Math.min(MAX_DOUBLINGS, activeLosses - QUARANTINE_THRESHOLD);
+        return Math.max(0, record.lastLossAtMs() + quarantineMs - nowMs);
     }
 
     private static boolean needsTrial(CrashRecord record) {
         return record.activeLossCount() >= QUARANTINE_THRESHOLD - 1;
     }
 
-    /** Returns the incarnations that a request had better not go to, since another one is on trial there. */
+    /** Returns the endpoint incarnations that a request should avoid because another request is on trial there. */
     public Set<String> endpointsToAvoid(Supplier<Fingerprint> request) {
         return idle ? Set.of() : endpointsToAvoid(request.get());
     }
 
     private synchronized Set<String> endpointsToAvoid(Fingerprint request) {
         long nowMs = clock.nowMs();
-        Set<String> shunned = new HashSet<>();
+        Set<String> avoided = new HashSet<>();
         trials.forEach((other, trial) -> {
             if (!other.equals(request) && trial.untilMs() > nowMs) {
-                shunned.add(trial.endpoint());
+                avoided.add(trial.endpoint());
             }
         });
-        return shunned;
+        return avoided;
     }
 
     /**
-     * Records that a request is sent to an endpoint.
+     * Records that a request is sent to an endpoint, and starts a trial if the request needs one.
      *
-     * @return the trial that it is on there, which whoever sent it ends by {@link #endTrial}; empty for one that is not suspected
+     * @return the identifier of the trial, which the sender ends with {@link #endTrial}; empty for a request that needs
+     * none
      */
     public Optional<String> sent(Supplier<Fingerprint> request, String endpoint) {
         return idle ? Optional.empty() : sent(request.get(), endpoint);
@@ -172,20 +183,20 @@
         return Optional.of(id);
     }
 
-    /** Records that a trial of this box has ended, in whatever way. */
+    /** Ends a trial that this box started, whatever its result. */
     public synchronized void endTrial(Fingerprint request, String trialId) {
-        CrashTrial over = new CrashTrial(request.hex(), trialId, null);
-        if (applyTrial(over)) {
-            listener.broadcast(trialMessage(over), null);
+        CrashTrial ended = new CrashTrial(request.hex(), trialId, null);
+        if (applyTrial(ended)) {
+            listener.broadcast(trialMessage(ended), null);
         }
     }
 
-    /** Records that the connection to an endpoint ended while it may have run a request. */
+    /** Records that the connection to an endpoint ended while the endpoint may have been running a request. */
     public void endpointLost(Fingerprint request, String endpoint) {
         endpointLost(List.of(request), endpoint);
     }
 
-    /** Records that the connection to an endpoint ended while it may have run some requests. */
+    /** Records that the connection to an endpoint ended while the endpoint may have been running several requests. */
     public synchronized void endpointLost(List<Fingerprint> requests, String endpoint) {
         endpointLostAtMs.put(endpoint, clock.nowMs());
         List<CrashReport> reports = requests.stream()
@@ -194,7 +205,7 @@
         mergeReports(reports, null, true);
     }
 
-    /** Returns whether an endpoint ended under a request that has not been cleared since. */
+    /** Returns whether a request has at least one loss that has not been withdrawn. */
     public boolean isSuspected(Supplier<Fingerprint> request) {
         return !idle && activeLossCount(request.get()) > 0;
     }
@@ -204,13 +215,13 @@
     }
 
     /**
-     * Records a whole answer: the endpoint was there after the request was sent. A success clears the request as well;
-     * a failure may come without a run.
+     * Records a complete response, which proves that the endpoint was alive after the request was sent. A success also
+     * clears the request; a failure does not, since the endpoint may have answered without running it.
      *
      * @param request the request
      * @param endpoint the endpoint
      * @param sentAtMs when the request was sent there, in ms of the monotonic clock
-     * @param success whether the answer is a success
+     * @param success whether the response is a success
      */
     public void answered(Supplier<Fingerprint> request, String endpoint, long sentAtMs, boolean success) {
         if (!idle) {
@@ -223,8 +234,8 @@
         if (success) {
             clearingReport(request).ifPresent(cleared::add);
         }
-        Long endedMs = endpointLostAtMs.get(endpoint);
-        if (endedMs != null && sentAtMs > endedMs) {
+        Long lostAtMs = endpointLostAtMs.get(endpoint);
+        if (lostAtMs != null && sentAtMs > lostAtMs) {
             endpointLostAtMs.remove(endpoint);
             for (Fingerprint other : crashRecords.requestsLostWith(endpoint)) {
                 cleared.add(new CrashReport(other.hex(), List.of(), List.of(endpoint), 0));
@@ -235,7 +246,7 @@
         }
     }
 
-    /** Returns a report that withdraws all losses under a request, if some stand. */
+    /** Returns a report that withdraws all losses of a request, if any of them is still active. */
     private Optional<CrashReport> clearingReport(Fingerprint request) {
         CrashRecord record = crashRecords.find(request, clock.nowMs());
         return record.activeLossCount() == 0
@@ -243,80 +254,86 @@
                 : Optional.of(new CrashReport(request.hex(), List.of(), List.copyOf(record.losses()), 0));
     }
 
-    /** Lets a request through again that an operator has found harmless, or whose endpoints bear it now. */
+    /**
+     * Clears a request that an operator found harmless, or that the endpoints can run by now; returns whether it had
+     * active losses.
+     */
     public synchronized boolean lift(Fingerprint request) {
         Optional<CrashReport> lifted = clearingReport(request);
         lifted.ifPresent(report -> mergeReports(List.of(report), null, true));
         return lifted.isPresent();
     }
 
-    /** Takes in what another box tells; what is new goes on to the others. */
+    /** Applies a message from another box and forwards what is new to the other boxes. */
     public synchronized void receive(String boxId, CrashNews news) {
         mergeReports(news.getReports(), boxId, false);
-        List<CrashTrial> changed = new ArrayList<>();
+        List<CrashTrial> newTrials = new ArrayList<>();
         for (CrashTrial trial : news.getTrials()) {
             if (applyTrial(trial)) {
-                changed.add(trial);
+                newTrials.add(trial);
             }
         }
-        if (!changed.isEmpty()) {
-            listener.broadcast(new CrashNews(List.of(), changed), boxId);
+        if (!newTrials.isEmpty()) {
+            listener.broadcast(new CrashNews(List.of(), newTrials), boxId);
         }
     }
 
-    /** A trial begins once and ends once, in whatever order that is heard, so that news of it comes to rest. */
-    private boolean applyTrial(CrashTrial told) {
-        Fingerprint request = new Fingerprint(told.getFingerprint());
+    /**
+     * Applies the start or end of a trial and returns whether it was new. Each trial starts once and ends once, in
+     * whatever order the messages arrive, so that boxes stop forwarding them.
+     */
+    private boolean applyTrial(CrashTrial received) {
+        Fingerprint request = new Fingerprint(received.getFingerprint());
         Trial known = trials.get(request);
-        boolean same = known != null && known.id().equals(told.getTrialId());
-        if (told.getEndpoint() == null) {
-            if (same) {
+        boolean sameTrial = known != null && known.id().equals(received.getTrialId());
+        if (received.getEndpoint() == null) {
+            if (sameTrial) {
                 trials.remove(request);
             }
-            return trialEndedAtMs.put(told.getTrialId(), clock.nowMs()) == null;
+            return trialEndedAtMs.put(received.getTrialId(), clock.nowMs()) == null;
         }
-        if (same || trialEndedAtMs.containsKey(told.getTrialId())) {
+        if (sameTrial || trialEndedAtMs.containsKey(received.getTrialId())) {
             return false;
         }
-        trials.put(request, new Trial(told.getTrialId(), told.getEndpoint(), clock.nowMs() + TRIAL_TIMEOUT_MS));
+        trials.put(request, new Trial(received.getTrialId(), received.getEndpoint(), clock.nowMs() + TRIAL_TIMEOUT_MS));
         idle = false;
         return true;
     }
 
-    /** Takes in a report that was kept; one that lacks losses known here is kept anew with all of them. */
-    public synchronized void mergeStored(CrashReport kept) {
-        mergeReports(List.of(kept), null, false);
-        CrashRecord known = crashRecords.find(new Fingerprint(kept.getFingerprint()), clock.nowMs());
-        CrashRecord row = CrashRecord.EMPTY.merge(kept, clock.nowMs());
-        if (known.containsMoreThan(row)) {
-            listener.persist(known.toReport(new Fingerprint(kept.getFingerprint()), clock.nowMs()));
+    /** Merges a report read from the store; if it lacks losses that are known here, writes the merged report back. */
+    public synchronized void mergeStored(CrashReport stored) {
+        mergeReports(List.of(stored), null, false);
+        CrashRecord known = crashRecords.find(new Fingerprint(stored.getFingerprint()), clock.nowMs());
+        CrashRecord storedRecord = CrashRecord.EMPTY.merge(stored, clock.nowMs());
+        if (known.containsMoreThan(storedRecord)) {
+            listener.persist(known.toReport(new Fingerprint(stored.getFingerprint()), clock.nowMs()));
         }
     }
 
-    private void mergeReports(List<CrashReport> reports, String fromBox, boolean own) {
+    private void mergeReports(List<CrashReport> reports, String fromBox, boolean observedHere) {
         long nowMs = clock.nowMs();
         removeExpiredPeriodically(nowMs);
-        List<CrashReport> news = new ArrayList<>();
-        boolean senderKnows = true;
+        List<CrashReport> merged = new ArrayList<>();
+        boolean senderIsUpToDate = true;
         for (CrashReport report : reports) {
             Fingerprint request = new Fingerprint(report.getFingerprint());
-            boolean keptBefore = crashRecords.find(request, nowMs).activeLossCount() >= QUARANTINE_THRESHOLD;
+            boolean quarantinedBefore = crashRecords.find(request, nowMs).activeLossCount() >= QUARANTINE_THRESHOLD;
             Optional<CrashReport> added = crashRecords.add(report, nowMs);
             if (added.isPresent()) {
                 CrashRecord known = crashRecords.find(request, nowMs);
-                news.add(added.get());
-                senderKnows &= !known.containsMoreThan(CrashRecord.EMPTY.merge(report, nowMs));
+                merged.add(added.get());
+                senderIsUpToDate &= !known.containsMoreThan(CrashRecord.EMPTY.merge(report, nowMs));
                 listener.changed(added.get(), known.activeLossCount());
-                // Each row that is kept wakes every box: of two losses, which a few broken connections bring about,
-                // none is.
-                if (own && (keptBefore || known.activeLossCount() >= QUARANTINE_THRESHOLD)) {
+                // Each stored row wakes every box, so nothing is stored for one or two losses, which a few broken
+                // connections can cause.
+                if (observedHere && (quarantinedBefore || known.activeLossCount() >= QUARANTINE_THRESHOLD)) {
                     listener.persist(added.get());
                 }
             }
         }
         idle = crashRecords.isEmpty() && trials.isEmpty();
-        String exceptBox = senderKnows ? fromBox : null;
-        toMessages(news).forEach(message -> listener.broadcast(message, exceptBox));
+        String exceptBox = senderIsUpToDate ? fromBox : null;
+        toMessages(merged).forEach(message -> listener.broadcast(message, exceptBox));
     }
 
     private void removeExpiredPeriodically(long nowMs) {
@@ -347,18 +364,18 @@
         return messages;
     }
 
-    /** Returns all that a box without news needs. */
+    /** Returns all reports as messages for a box that has received none yet. */
     public synchronized List<CrashNews> snapshot() {
         return toMessages(reports());
     }
 
-    /** Returns all reports, for operators. */
+    /** Returns all current reports, as shown to operators. */
     public synchronized List<CrashReport> reports() {
         removeExpired(clock.nowMs());
         return crashRecords.reports(clock.nowMs());
     }
 
-    /** Returns how many requests are held back. */
+    /** Returns how many requests are quarantined. */
     public synchronized int quarantinedCount() {
         long nowMs = clock.nowMs();
         removeExpired(nowMs);
--- a/core/src/main/java/org/wingstall/core/quarantine/RequestQuarantine.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/RequestQuarantine.java
@@ -5,9 +5,10 @@
 import java.util.function.Supplier;
 
 /**
- * What a quarantine says of one request, and is told of its sendings. Confined to the request's event loop.
+ * Provides the quarantine's checks for one request and records what happens to each attempt at it. Confined to the
+ * request's event loop.
  *
- * <p>{@code guard.hold().ifPresent(this::refuse); guard.sent("i-7f3a@0"); ... guard.lost("i-7f3a@0");}
+ * <p>{@code guard.refusal().ifPresent(this::refuse); guard.sent("i-7f3a@0"); guard.endpointLost("i-7f3a@0");}
  *
  * @since 0.7
  */
@@ -17,43 +18,44 @@
     private Optional<String> trial = Optional.empty();
 
     /**
-     * Creates a guard.
+     * Creates the quarantine view of one request.
      *
      * @param quarantine the quarantine
-     * @param request gives the request's fingerprint, asked for only while something is suspected
+     * @param request supplies the request's fingerprint; called only while there are suspects or trials, or when an
+     * endpoint is lost
      */
     public RequestQuarantine(Quarantine quarantine, Supplier<Fingerprint> request) {
         this.quarantine = quarantine;
         this.request = request;
     }
 
-    /** Returns why the request is not to be sent now, or sent once more after its last sending ended. */
+    /** Ends the trial of the previous attempt, if any, and returns the refusal if the request must not be sent now. */
     public Optional<QuarantineRefusal> refusal() {
         endTrial();
         return quarantine.refusal(request);
     }
 
-    /** Returns the incarnations that it had better not go to. */
+    /** Returns the endpoint incarnations that the request should avoid. */
     public Set<String> endpointsToAvoid() {
         return quarantine.endpointsToAvoid(request);
     }
 
-    /** Records that it is sent to an incarnation. */
+    /** Records that the request is sent to an endpoint incarnation. */
     public void sent(String endpoint) {
         trial = quarantine.sent(request, endpoint);
     }
 
-    /** Records that the connection to an incarnation ended while it may have run the request. */
+    /** Records that the connection to an endpoint incarnation ended while it may have been running the request. */
     public void endpointLost(String endpoint) {
         quarantine.endpointLost(request.get(), endpoint);
     }
 
-    /** Records a whole answer to what was sent at a time, in ms of the monotonic clock. */
+    /** Records a complete response to the request as sent at {@code sentAtMs}, in ms of the monotonic clock. */
     public void answered(String endpoint, long sentAtMs, boolean success) {
         quarantine.answered(request, endpoint, sentAtMs, success);
     }
 
-    /** Records that its last sending has ended, in whatever way. */
+    /** Ends the trial of the last attempt, if there is one, whatever its result. */
     public void endTrial() {
         trial.ifPresent(id -> quarantine.endTrial(request.get(), id));
         trial = Optional.empty();
--- a/core/src/test/java/org/wingstall/core/quarantine/GossipTest.java
+++ b/core/src/test/java/org/wingstall/core/quarantine/GossipTest.java
@@ -15,14 +15,15 @@
 import org.wingstall.schema.peer.CrashReport;
 
 /**
- * What boxes tell each other comes to rest. A trial's begin and its end went round a mesh of boxes in turn, each forgotten by
- * the other's arrival, until the processes did nothing else: a day of 41 s used 25 s of processor time a box and had not ended.
+ * Tests that boxes stop forwarding crash messages. Guards against a loop in which the start and the end of a trial
+ * circulated in the mesh, each arrival making a box forget the other, until processes did nothing else: a simulated day
+ * of 41 s used 25 s of processor time per box and had not ended.
  */
 public class GossipTest {
     private static final int BOXES = 5;
     private static final Fingerprint SUSPECT = Fingerprint.of("canteen", "POST", "/x", new byte[0]);
 
-    /** More than any order of delivery needs: each of some facts once over each link, several times. */
+    /** More messages than any delivery order needs: several times the number of facts times the number of links. */
     private static final int MOST_MESSAGES = 20_000;
 
     private final List<Box> boxes = new ArrayList<>();
@@ -48,7 +49,7 @@
         public void persist(CrashReport report) {}
 
         @Override
-        public void changed(CrashReport report, int standing) {}
+        public void changed(CrashReport report, int activeLosses) {}
     }
 
     @DataProvider
@@ -61,7 +62,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void newsComesToRestInWhateverOrderItArrives(int seed) {
+    public void messagesStopInAnyDeliveryOrder(int seed) {
         boxes.clear();
         network = new SimulatedGossipNetwork<>(BOXES, MOST_MESSAGES, (box, fromBox, news) -> boxes.get(box)
                 .quarantine
--- a/core/src/test/java/org/wingstall/core/quarantine/QuarantineTest.java
+++ b/core/src/test/java/org/wingstall/core/quarantine/QuarantineTest.java
@@ -19,7 +19,10 @@
 import org.wingstall.schema.peer.CrashNews;
 import org.wingstall.schema.peer.CrashReport;
 
-/** Requests that endpoints end under are held back; those that only ran beside them are not. */
+/**
+ * Tests that requests which crash endpoints are quarantined, and that requests which merely ran at the same time are
+ * not.
+ */
 public class QuarantineTest {
     private static final Fingerprint CULPRIT = request("culprit");
     private static final Fingerprint POPULAR = request("popular");
@@ -28,11 +31,11 @@
     private long nowMs;
     private FleetOfTwo fleet;
 
-    /** Two boxes with a link that can be cut. */
+    /** Two boxes with a link that can be disconnected. */
     private final class FleetOfTwo {
         private final Box first = new Box("first");
         private final Box second = new Box("second");
-        private boolean cut;
+        private boolean disconnected;
 
         private Box other(Box box) {
             return box == first ? second : first;
@@ -41,8 +44,8 @@
 
     private final class Box implements Quarantine.Listener {
         private final String name;
-        private final List<CrashReport> kept = new ArrayList<>();
-        private final List<CrashNews> told = new ArrayList<>();
+        private final List<CrashReport> persisted = new ArrayList<>();
+        private final List<CrashNews> broadcasts = new ArrayList<>();
         private final Quarantine quarantine;
 
         Box(String name) {
@@ -52,20 +55,20 @@
 
         @Override
         public void broadcast(CrashNews news, String exceptBox) {
-            told.add(news);
+            broadcasts.add(news);
             Box other = fleet.other(this);
-            if (!fleet.cut && !other.name.equals(exceptBox)) {
+            if (!fleet.disconnected && !other.name.equals(exceptBox)) {
                 other.quarantine.receive(name, news);
             }
         }
 
         @Override
         public void persist(CrashReport report) {
-            kept.add(report);
+            persisted.add(report);
         }
 
         @Override
-        public void changed(CrashReport report, int standing) {}
+        public void changed(CrashReport report, int activeLosses) {}
 
         void lost(Fingerprint request, String... endpoints) {
             for (String endpoint : endpoints) {
@@ -105,7 +108,7 @@
     }
 
     @Test(dataProvider = "losses")
-    public void aRequestIsHeldBackFromTheThirdLossOn(int losses, Reason held) {
+    public void requestIsQuarantinedFromTheThirdLoss(int losses, Reason held) {
         for (int i = 0; i < losses; i++) {
             (i % 2 == 0 ? fleet.first : fleet.second).lost(CULPRIT, "e" + i);
         }
@@ -115,31 +118,34 @@
     }
 
     @Test
-    public void oneEndpointCountsOnceHoweverManyRunsEndWithIt() {
+    public void anEndpointCountsAsOneLossHoweverManyRunsItEnds() {
         fleet.first.lost(CULPRIT, "e1", "e1");
         fleet.second.lost(CULPRIT, "e1");
         assertEquals(fleet.first.reason(CULPRIT), null);
     }
 
     @Test
-    public void aSuccessAnywhereClearsARequest() {
+    public void successOnAnyBoxClearsARequest() {
         fleet.first.lost(POPULAR, "e1", "e2");
         fleet.second.succeeded(POPULAR, "e3");
         fleet.first.lost(POPULAR, "e4");
         assertEquals(fleet.first.reason(POPULAR), null);
     }
 
-    /** An endpoint that fails requests without running them must not clear one that crashes those that do. */
+    /**
+     * An endpoint that responds with failures without running requests must not clear a request that crashes the
+     * endpoints that run it.
+     */
     @Test
-    public void aFailureClearsNothing() {
+    public void failureDoesNotClearARequest() {
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         fleet.second.quarantine.answered(() -> CULPRIT, "e4", nowMs, false);
         assertEquals(fleet.second.reason(CULPRIT), Reason.QUARANTINED);
     }
 
-    /** A connection that broke, with the endpoint there still, is no loss of the endpoint. */
+    /** A broken connection to an endpoint that is still alive is not a loss. */
     @Test
-    public void anEndpointThatAnswersLaterWasNotLost() {
+    public void laterResponseFromAnEndpointWithdrawsItsLoss() {
         fleet.first.lost(POPULAR, "e1", "e2", "e3");
         nowMs++;
         fleet.first.quarantine.answered(() -> request("other"), "e1", nowMs, false);
@@ -148,14 +154,14 @@
     }
 
     @Test
-    public void anAnswerToWhatWasSentBeforeProvesNothing() {
+    public void responseToARequestSentBeforeTheLossWithdrawsNothing() {
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         fleet.first.quarantine.answered(() -> request("other"), "e1", nowMs - 500, true);
         assertEquals(fleet.first.reason(CULPRIT), Reason.QUARANTINED);
     }
 
     @Test
-    public void afterTwoLossesOneBoxTriesItAtATime() {
+    public void afterTwoLossesOnlyOneBoxAtATimeRunsATrial() {
         fleet.first.lost(CULPRIT, "e1", "e2");
         String trial = fleet.first.sent(CULPRIT, "e3").orElseThrow();
         assertEquals(fleet.second.reason(CULPRIT), Reason.SUSPECT_ON_TRIAL);
@@ -164,9 +170,9 @@
         assertEquals(fleet.second.reason(CULPRIT), null);
     }
 
-    /** The box that tried it may have ended. */
+    /** The box that started the trial may have stopped before ending it. */
     @Test
-    public void aTrialWithoutAnEndDoesNotLastForEver() {
+    public void trialWithoutAnEndTimesOut() {
         fleet.first.lost(CULPRIT, "e1", "e2");
         fleet.first.sent(CULPRIT, "e3");
         nowMs += 5000;
@@ -174,7 +180,7 @@
     }
 
     @Test
-    public void othersStayAwayFromAnEndpointWithATrial() {
+    public void otherRequestsAvoidAnEndpointWithATrial() {
         fleet.first.lost(CULPRIT, "e1", "e2");
         String trial = fleet.first.sent(CULPRIT, "e3").orElseThrow();
         assertEquals(fleet.second.quarantine.endpointsToAvoid(() -> POPULAR), Set.of("e3"));
@@ -183,9 +189,12 @@
         assertEquals(fleet.second.quarantine.endpointsToAvoid(() -> POPULAR), Set.of());
     }
 
-    /** Whoever stood beside the culprit twice is tried apart from it: one of the two ends its endpoint alone. */
+    /**
+     * Two requests that ran together on two lost endpoints are tried on different endpoints, so that only the culprit
+     * gets a third loss.
+     */
     @Test
-    public void aSuspectThatStoodBesideTheCulpritIsClearedByItsTrial() {
+    public void harmlessSuspectIsClearedByItsTrial() {
         for (Fingerprint suspect : List.of(CULPRIT, POPULAR)) {
             fleet.first.lost(suspect, "e1", "e2");
         }
@@ -199,16 +208,16 @@
     }
 
     @DataProvider
-    Object[][] holds() {
+    Object[][] quarantineTimes() {
         return new Object[][] {{3, TEN_MINUTES_MS}, {4, 2 * TEN_MINUTES_MS}, {9, 64 * TEN_MINUTES_MS}};
     }
 
-    @Test(dataProvider = "holds")
-    public void itIsHeldBackForLongerWithEachLossAndThenOnTrialAgain(int losses, long heldMs) {
+    @Test(dataProvider = "quarantineTimes")
+    public void quarantineTimeDoublesWithEachLossAndATrialFollows(int losses, long quarantineMs) {
         for (int i = 0; i < losses; i++) {
             fleet.first.lost(CULPRIT, "e" + i);
         }
-        nowMs += heldMs - 1;
+        nowMs += quarantineMs - 1;
         Optional<QuarantineRefusal> hold = fleet.second.quarantine.refusal(() -> CULPRIT);
         assertEquals(hold.orElseThrow().reason(), Reason.QUARANTINED);
         assertEquals(hold.orElseThrow().retryAfterMs(), 1);
@@ -218,9 +227,12 @@
         assertEquals(fleet.first.reason(CULPRIT), Reason.SUSPECT_ON_TRIAL);
     }
 
-    /** A full record takes no more losses, so a trial that ended another endpoint left no trace and the next followed at once. */
+    /**
+     * Guards against endless trials: a full record stores no more losses, so a trial that crashed another endpoint left
+     * no record and the next trial started at once.
+     */
     @Test
-    public void aRequestThatEndedMoreEndpointsThanAreRememberedIsNotTriedAgain() {
+    public void requestWithAFullRecordGetsNoFurtherTrial() {
         for (int i = 0; i < 40; i++) {
             fleet.first.lost(CULPRIT, "e" + i);
         }
@@ -228,9 +240,9 @@
         assertEquals(fleet.first.reason(CULPRIT), Reason.QUARANTINED);
     }
 
-    /** What turns out not to be a loss says nothing of when the others came. */
+    /** A withdrawn loss must not change the recorded time of the last loss. */
     @Test
-    public void aWithdrawnLossDoesNotMakeAHoldLonger() {
+    public void withdrawnLossDoesNotExtendAQuarantine() {
         fleet.first.lost(CULPRIT, "e1", "e2", "e3", "e4");
         nowMs += 60_000;
         fleet.first.quarantine.answered(() -> request("other"), "e4", nowMs, true);
@@ -239,7 +251,7 @@
     }
 
     @Test
-    public void lossesThatLieFarApartAreNotCountedTogether() {
+    public void lossesFarApartInTimeAreNotAdded() {
         fleet.first.lost(POPULAR, "e1", "e2");
         nowMs += 120_000;
         fleet.first.lost(POPULAR, "e3");
@@ -247,61 +259,64 @@
     }
 
     @Test
-    public void boxesThatWereCutOffAddUpWhatEachSaw() {
-        fleet.cut = true;
+    public void reconnectedBoxesMergeTheirLosses() {
+        fleet.disconnected = true;
         fleet.first.lost(CULPRIT, "e1", "e2");
         fleet.second.lost(CULPRIT, "e3");
         assertEquals(fleet.second.reason(CULPRIT), null);
-        fleet.cut = false;
+        fleet.disconnected = false;
         fleet.first.quarantine.snapshot().forEach(news -> fleet.second.quarantine.receive("first", news));
         assertEquals(fleet.first.reason(CULPRIT), Reason.QUARANTINED);
         assertEquals(fleet.second.reason(CULPRIT), Reason.QUARANTINED);
     }
 
     @Test
-    public void whatDecidesIsKeptAndReadByABoxWithoutLinks() {
-        fleet.cut = true;
+    public void decisiveReportIsPersistedAndReadByABoxWithoutLinks() {
+        fleet.disconnected = true;
         fleet.first.lost(CULPRIT, "e1", "e2");
-        assertEquals(fleet.first.kept, List.of());
+        assertEquals(fleet.first.persisted, List.of());
         fleet.first.lost(CULPRIT, "e3");
-        assertEquals(fleet.first.kept.size(), 1);
-        fleet.first.kept.forEach(fleet.second.quarantine::mergeStored);
+        assertEquals(fleet.first.persisted.size(), 1);
+        fleet.first.persisted.forEach(fleet.second.quarantine::mergeStored);
         assertEquals(fleet.second.reason(CULPRIT), Reason.QUARANTINED);
-        assertEquals(fleet.second.kept, List.of());
+        assertEquals(fleet.second.persisted, List.of());
     }
 
-    /** Two boxes write one row; what the later write lacks is kept again by whoever knows it. */
+    /** Two boxes write the same row; a box that knows losses missing in the later write stores the merged report. */
     @Test
-    public void aKeptReportThatLacksLossesIsKeptAnew() {
-        fleet.cut = true;
+    public void storedReportThatLacksLossesIsPersistedAgain() {
+        fleet.disconnected = true;
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         fleet.second.lost(CULPRIT, "e4", "e5", "e6");
-        fleet.first.quarantine.mergeStored(fleet.second.kept.get(0));
-        CrashReport anew = fleet.first.kept.get(1);
-        assertEquals(Set.copyOf(anew.getLosses()), Set.of("e1", "e2", "e3", "e4", "e5", "e6"));
-        fleet.second.quarantine.mergeStored(anew);
-        assertEquals(fleet.second.kept.size(), 1);
+        fleet.first.quarantine.mergeStored(fleet.second.persisted.get(0));
+        CrashReport merged = fleet.first.persisted.get(1);
+        assertEquals(Set.copyOf(merged.getLosses()), Set.of("e1", "e2", "e3", "e4", "e5", "e6"));
+        fleet.second.quarantine.mergeStored(merged);
+        assertEquals(fleet.second.persisted.size(), 1);
     }
 
     @Test
-    public void aClearedRequestIsClearedWhereItWasKeptToo() {
+    public void clearingARequestUpdatesItsStoredReport() {
         fleet.first.lost(POPULAR, "e1", "e2", "e3");
         fleet.first.succeeded(POPULAR, "e4");
-        CrashReport last = fleet.first.kept.get(fleet.first.kept.size() - 1);
+        CrashReport last = fleet.first.persisted.get(fleet.first.persisted.size() - 1);
         assertEquals(Set.copyOf(last.getWithdrawn()), Set.of("e1", "e2", "e3"));
     }
 
-    /** A few broken connections wrote rows that woke every box: 9,426 calls to the store on a day of 86 boxes, 4,267 before. */
+    /**
+     * Guards against store writes for one or two losses, which a few broken connections cause and which
+     * wake every box: a simulated day of 86 boxes made 9,426 calls to the store instead of 4,267.
+     */
     @Test
-    public void twoLossesThatAreClearedWriteNothing() {
+    public void twoClearedLossesWriteNothingToTheStore() {
         fleet.first.lost(POPULAR, "e1", "e2");
         fleet.second.succeeded(POPULAR, "e3");
-        assertEquals(fleet.first.kept, List.of());
-        assertEquals(fleet.second.kept, List.of());
+        assertEquals(fleet.first.persisted, List.of());
+        assertEquals(fleet.second.persisted, List.of());
     }
 
     @Test
-    public void anOperatorLiftsAHold() {
+    public void operatorCanLiftAQuarantine() {
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         assertTrue(fleet.second.quarantine.lift(CULPRIT));
         assertFalse(fleet.second.quarantine.lift(CULPRIT));
@@ -309,7 +324,7 @@
     }
 
     @Test
-    public void reportsOfManyRequestsLeaveRoomForThoseHeldBack() {
+    public void evictionKeepsQuarantinedRequests() {
         fleet.first.lost(CULPRIT, "e1", "e2", "e3");
         for (int i = 0; i < 10_000; i++) {
             nowMs++;
@@ -324,10 +339,10 @@
         return new Object[][] {{1}, {2}, {3}, {4}, {5}, {6}, {7}, {8}};
     }
 
-    /** Reports that come in another order, twice, or by way of other boxes add up to the same. */
+    /** Reports that arrive in another order, twice, or through other boxes lead to the same state. */
     @Test(dataProvider = "seeds")
-    public void reportsAddUpInWhateverOrderTheyCome(int seed) {
-        fleet.cut = true;
+    public void reportsMergeToTheSameStateInAnyOrder(int seed) {
+        fleet.disconnected = true;
         Random random = new Random(seed);
         for (int i = 0; i < 30; i++) {
             Fingerprint request = random.nextBoolean() ? CULPRIT : POPULAR;
@@ -337,8 +352,8 @@
                 fleet.first.succeeded(POPULAR, "e" + random.nextInt(9));
             }
         }
-        List<CrashNews> shuffled = new ArrayList<>(fleet.first.told);
-        shuffled.addAll(fleet.first.told);
+        List<CrashNews> shuffled = new ArrayList<>(fleet.first.broadcasts);
+        shuffled.addAll(fleet.first.broadcasts);
         Collections.shuffle(shuffled, random);
         shuffled.forEach(news -> fleet.second.quarantine.receive("first", news));
         for (Fingerprint request : List.of(CULPRIT, POPULAR)) {
@@ -347,10 +362,10 @@
     }
 
     @Test
-    public void newsGoesRoundOnce() {
+    public void eachMessageIsForwardedOnce() {
         fleet.first.lost(CULPRIT, "e1");
-        assertEquals(fleet.first.told.size(), 1);
-        assertEquals(fleet.second.told.size(), 1);
+        assertEquals(fleet.first.broadcasts.size(), 1);
+        assertEquals(fleet.second.broadcasts.size(), 1);
     }
 
     @DataProvider
@@ -365,7 +380,7 @@
     }
 
     @Test(dataProvider = "differences")
-    public void requestsThatDifferHaveAnotherFingerprint(String in, Fingerprint other) {
+    public void differentRequestsHaveDifferentFingerprints(String in, Fingerprint other) {
         byte[] body = "body".getBytes(StandardCharsets.UTF_8);
         assertFalse(other.equals(Fingerprint.of("canteen", "POST", "/x", body)), in);
     }
