--- a/core/src/main/java/org/wingstall/core/limit/AdvertisedLimits.java
+++ b/core/src/main/java/org/wingstall/core/limit/AdvertisedLimits.java
@@ -10,42 +10,48 @@
 import org.wingstall.schema.peer.LimitNews;
 
 /**
- * The requests a second that endpoints take from all boxes together, as known to one box: from the answers that it got, and
- * from what other boxes tell of theirs. Not safe for use on several threads.
+ * Tracks the request rate that each endpoint accepts from all boxes together, from the responses that this box received
+ * and from messages of other boxes. Not thread-safe.
  *
- * <p>Each statement about an endpoint has a revision. The highest one holds at every box; of two with the same revision the one
- * with the lower rate holds. So what boxes tell each other comes to rest in whatever order it arrives.
+ * <p>Each message about an endpoint has a revision. On every box the highest revision applies, and of two messages with
+ * the same revision the one with the lower rate. So all boxes converge to the same rate, in whatever order messages
+ * arrive, and stop forwarding them.
  *
- * <p>{@code limits.stated("i-1@1", 1.0, sentMs); limits.requestsPerSecond("i-1@1")}
+ * <p>{@code limits.advertised("i-1@1", 1.0); limits.requestsPerSecond("i-1@1")}
  *
  * @since 0.9
  */
 public final class AdvertisedLimits {
-    /** Rate of an endpoint whose first statement can't be read: it is in need, and nobody knows how much. */
+    /**
+     * Rate of an endpoint whose first advertised rate can't be parsed: it needs some limit, but its value is not known.
+     */
     private static final double UNREADABLE_RATE = 1;
 
-    /** Rate in {@link LimitNews} that stands for no limit. */
+    /** Rate in {@link LimitNews} that means no limit. */
     private static final double CLEARED = -1;
 
-    /** Time without a lower rate after which a higher one holds, and without any after which none does, in ms. */
+    /**
+     * Time without a lower advertised rate after which a higher one applies, and time without any advertised rate after
+     * which the limit can be cleared, in ms.
+     */
     private static final long RAISE_DELAY_MS = 1000;
 
-    /** Pause after which a rate that holds on is told again, in ms. */
+    /** Time after which an unchanged rate is broadcast again, in ms. */
     private static final long REBROADCAST_INTERVAL_MS = 10_000;
 
-    /** Time after which a rate that nobody stated again is taken for cleared, in ms. */
+    /** Time after which a rate that was not advertised again is treated as cleared, in ms. */
     private static final long STALE_AFTER_MS = 30_000;
 
-    /** Time in which the rate doubles once an endpoint states none any more, in ms. */
+    /** Time in which the allowed rate doubles after an endpoint stopped advertising one, in ms. */
     private static final double RAMP_DOUBLING_MS = 1000;
 
-    /** Time after which nothing is bounded once an endpoint states no rate any more, in ms. */
+    /** Time after which the rate is unlimited again once an endpoint stopped advertising one, in ms. */
     private static final long RAMP_MS = 6000;
 
-    /** Least rate from which an endpoint's requests grow again. */
+    /** Minimum rate from which the allowed rate doubles after a limit ends. */
     private static final double MIN_RAMP_RATE = 1;
 
-    /** Time for which what is known of an endpoint that no list has is kept, in ms. */
+    /** Time for which the entry of an endpoint that is no longer listed is retained, in ms. */
     private static final long UNLISTED_RETENTION_MS = 60_000;
 
     private final String boxId;
@@ -53,17 +59,17 @@
     private final Listener listener;
     private final Map<String, Entry> entries = new HashMap<>();
 
-    /** Takes what changes. */
+    /** Receives the messages and limit changes to pass on. */
     public interface Listener {
         /**
-         * Tells the other boxes.
+         * Sends a message to all linked boxes except one.
          *
-         * @param news what they have to know
-         * @param exceptBox box that it was heard from; null for none
+         * @param news the message
+         * @param exceptBox box that the message came from; null if it originates here
          */
         void broadcast(LimitNews news, String exceptBox);
 
-        /** An endpoint's limit is another one from now on. */
+        /** Called when an endpoint's limit has changed. */
         void changed(Limit limit);
     }
 
@@ -71,9 +77,9 @@
      * The limit of one endpoint.
      *
      * @param endpoint its identifier and incarnation
-     * @param requestsPerSecond the rate; infinite when its answers state none any more
-     * @param sinceMs time since it has held, in ms
-     * @param box box that got the answer
+     * @param requestsPerSecond the rate; infinite when its responses no longer advertise one
+     * @param ageMs time since this rate took effect, in ms
+     * @param box box that received the response
      */
     public record Limit(String endpoint, double requestsPerSecond, long ageMs, String box) {}
 
@@ -95,7 +101,7 @@
      *
      * @param boxId this box
      * @param clock monotonic clock
-     * @param listener takes what changes
+     * @param listener receives messages and limit changes
      */
     public AdvertisedLimits(String boxId, MonotonicClock clock, Listener listener) {
         this.boxId = boxId;
@@ -103,12 +109,12 @@
         this.listener = listener;
     }
 
-    /** Returns whether nothing is known of any endpoint. */
+    /** Returns whether there is no entry for any endpoint. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** Returns the limits that hold. */
+    /** Returns the limits that are in effect. */
     public List<Limit> activeLimits() {
         List<Limit> limits = new ArrayList<>();
         entries.forEach((endpoint, entry) -> {
@@ -119,13 +125,13 @@
         return limits;
     }
 
-    /** Returns whether an endpoint states a limit. */
+    /** Returns whether an endpoint advertises a limit that has not become stale. */
     public boolean isLimited(String endpoint) {
         Entry entry = entries.get(endpoint);
         return entry != null && entry.isLimited() && !isStale(entry);
     }
 
-    /** Returns the requests a second that all boxes may send to an endpoint now; empty when they are not bounded. */
+    /** Returns the requests per second that all boxes together may send to an endpoint now; empty if unlimited. */
     public OptionalDouble requestsPerSecond(String endpoint) {
         Entry entry = entries.get(endpoint);
         if (entry == null) {
@@ -135,15 +141,15 @@
             return OptionalDouble.of(entry.news.getRequestsPerSecond());
         }
         long sinceMs = clock.nowMs() - (entry.isLimited() ? entry.advertisedMs + STALE_AFTER_MS : entry.changedMs);
-        double from =
+        double startRate =
                 Math.max(MIN_RAMP_RATE, entry.isLimited() ? entry.news.getRequestsPerSecond() : entry.rampStartRate);
         return sinceMs < RAMP_MS
-                ? OptionalDouble.of(from * Math.pow(2, sinceMs / RAMP_DOUBLING_MS))
+                ? OptionalDouble.of(startRate * Math.pow(2, sinceMs / RAMP_DOUBLING_MS))
                 : OptionalDouble.empty();
     }
 
     /**
-     * Records an answer that states a rate.
+     * Records a response that advertises a rate.
      *
      * @param endpoint identifier and incarnation of the endpoint
      * @param requestsPerSecond the rate
@@ -151,12 +157,12 @@
     public void advertised(String endpoint, double requestsPerSecond) {
         long nowMs = clock.nowMs();
         Entry entry = entries.get(endpoint);
-        boolean raised = entry != null
+        boolean raisedTooSoon = entry != null
                 && entry.isLimited()
                 && requestsPerSecond > entry.news.getRequestsPerSecond()
                 && nowMs - entry.notHigherMs < RAISE_DELAY_MS;
-        boolean another = entry == null || entry.news.getRequestsPerSecond() != requestsPerSecond;
-        if (another && !raised) {
+        boolean different = entry == null || entry.news.getRequestsPerSecond() != requestsPerSecond;
+        if (different && !raisedTooSoon) {
             publish(endpoint, requestsPerSecond);
         }
         Entry known = entries.get(endpoint);
@@ -167,30 +173,32 @@
         rebroadcast(endpoint, known);
     }
 
-    /** Records an answer that states a rate which can't be read: the rate that is known holds on. */
+    /** Records a response that advertises a rate which can't be parsed: the known rate stays in effect. */
     public void advertisedUnreadable(String endpoint) {
         Entry entry = entries.get(endpoint);
         advertised(endpoint, entry != null && entry.isLimited() ? entry.news.getRequestsPerSecond() : UNREADABLE_RATE);
     }
 
     /**
-     * Records an answer that states no rate.
+     * Records a response that advertises no rate.
      *
      * @param endpoint identifier and incarnation of the endpoint
      * @param sentMs when its request was sent, in ms of the clock
      */
     public void notAdvertised(String endpoint, long sentMs) {
         Entry entry = entries.get(endpoint);
-        boolean over = entry != null
+        boolean cleared = entry != null
                 && entry.isLimited()
                 && sentMs > entry.advertisedMs
                 && clock.nowMs() - entry.advertisedMs >= RAISE_DELAY_MS;
-        if (over) {
+        if (cleared) {
             publish(endpoint, CLEARED);
         }
     }
 
-    /** A rate that holds on is told again, so that boxes which get no answers don't take it for stale. */
+    /**
+     * Broadcasts an unchanged rate again, so that boxes without responses from the endpoint don't treat it as stale.
+     */
     private void rebroadcast(String endpoint, Entry entry) {
         if (clock.nowMs() - entry.broadcastMs >= REBROADCAST_INTERVAL_MS) {
             publish(endpoint, entry.news.getRequestsPerSecond());
@@ -211,8 +219,8 @@
         long nowMs = clock.nowMs();
         Entry entry = entries.computeIfAbsent(endpoint, name -> new Entry());
         boolean first = entry.news == null;
-        boolean another = first || entry.news.getRequestsPerSecond() != news.getRequestsPerSecond();
-        if (another && !first && entry.isLimited()) {
+        boolean different = first || entry.news.getRequestsPerSecond() != news.getRequestsPerSecond();
+        if (different && !first && entry.isLimited()) {
             entry.rampStartRate = entry.news.getRequestsPerSecond();
         }
         entry.news = news;
@@ -220,9 +228,9 @@
         entry.notHigherMs = nowMs;
         entry.broadcastMs = nowMs;
         if (first && !entry.isLimited()) {
-            // The endpoint was released before this box knew of its limit.
+            // The endpoint's limit ended before this box learned of it, so the ramp is skipped.
             entry.changedMs = nowMs - RAMP_MS;
-        } else if (another) {
+        } else if (different) {
             entry.changedMs = nowMs;
             listener.changed(limit(endpoint, entry));
         }
@@ -237,7 +245,7 @@
         return clock.nowMs() - entry.advertisedMs >= STALE_AFTER_MS;
     }
 
-    /** Takes what another box tells. */
+    /** Applies a message from another box, and forwards it if it supersedes the known one. */
     public void receive(String box, LimitNews news) {
         Entry known = entries.get(news.getEndpoint());
         if (known == null || supersedes(news, known.news)) {
@@ -253,18 +261,18 @@
         return rank(news) < rank(known);
     }
 
-    /** A lower rate goes before a higher one, and any rate before none. */
+    /** Returns the sort key for equal revisions: a lower rate wins over a higher one, and any rate over none. */
     private static double rank(LimitNews news) {
         double rate = news.getRequestsPerSecond();
         return rate < 0 ? Double.POSITIVE_INFINITY : rate;
     }
 
-    /** Returns all that a box which has just been linked needs. */
+    /** Returns the latest message about each endpoint, for a newly linked box. */
     public List<LimitNews> snapshot() {
         return entries.values().stream().map(entry -> entry.news).toList();
     }
 
-    /** Drops what is known of endpoints that are gone. */
+    /** Removes the entries of endpoints that have not been listed for a while. */
     public void retain(Set<String> listed) {
         long nowMs = clock.nowMs();
         entries.entrySet()
--- a/core/src/main/java/org/wingstall/core/limit/ArrivalRate.java
+++ b/core/src/main/java/org/wingstall/core/limit/ArrivalRate.java
@@ -3,9 +3,9 @@
 import org.wingstall.core.time.MonotonicClock;
 
 /**
- * Arrivals a second, averaged over the last few seconds.
+ * Measures arrivals per second as an exponentially decaying average over the last few seconds.
  *
- * <p>{@code rate.arrived(); double perSecond = rate.perSecond();}
+ * <p>{@code rate.recordArrival(); double perSecond = rate.perSecond();}
  *
  * @since 0.1
  */
@@ -17,9 +17,9 @@
     private long updatedAtMs;
 
     /**
-     * Creates a rate of zero.
+     * Creates a rate that starts at zero.
      *
-     * @param clock clock that it decays by
+     * @param clock clock for the decay
      */
     public ArrivalRate(MonotonicClock clock) {
         this.clock = clock;
@@ -32,7 +32,7 @@
         perSecond += 1000 / TIME_CONSTANT_MS;
     }
 
-    /** Returns arrivals a second. */
+    /** Returns the average arrivals per second. */
     public synchronized double perSecond() {
         decay();
         return perSecond;
--- a/core/src/main/java/org/wingstall/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/wingstall/core/limit/TokenBucket.java
@@ -3,7 +3,8 @@
 import org.wingstall.core.time.MonotonicClock;
 
 /**
- * A token bucket whose rate may change; holds one second's worth.
+ * Limits a rate with a token bucket whose rate may change from call to call; holds the tokens of one second, at least
+ * one.
  *
  * <p>{@code if (!bucket.tryTake(10)) { refuse(bucket.waitMs(10)); }}
  *
@@ -19,7 +20,7 @@
     /**
      * Creates a bucket with one token.
      *
-     * @param clock clock that fills it
+     * @param clock clock for refilling
      */
     public TokenBucket(MonotonicClock clock) {
         this.clock = clock;
@@ -27,9 +28,9 @@
     }
 
     /**
-     * Takes a token if there is one.
+     * Takes a token if one is available.
      *
-     * @param perSecond rate at which the bucket fills
+     * @param perSecond refill rate, in tokens per second
      * @return whether a token was taken
      */
     public synchronized boolean tryTake(double perSecond) {
@@ -47,7 +48,7 @@
     /**
      * Returns the time until the next token.
      *
-     * @param perSecond rate at which the bucket fills
+     * @param perSecond refill rate, in tokens per second
      * @return the time, in ms
      */
     public synchronized long waitMs(double perSecond) {
--- a/core/src/main/java/org/wingstall/core/limit/WorkspaceLimiter.java
+++ b/core/src/main/java/org/wingstall/core/limit/WorkspaceLimiter.java
@@ -12,27 +12,30 @@
 import org.wingstall.schema.table.WorkspaceRow;
 
 /**
- * Holds workspaces to their fleet-wide limits by this gateway's share of each.
+ * Enforces this gateway's share of each workspace's fleet-wide rate limit.
  *
- * <p>A share follows demand once heartbeats have carried it everywhere; until then every box takes an equal part, since
- * boxes that each know only their own demand would each take nearly the whole limit.
+ * <p>A share is proportional to demand once heartbeats have carried the demand to all boxes. Until then every box takes
+ * an equal share, since boxes that know only their own demand would each take nearly the whole limit.
  *
  * <p>{@code limiter.admit(workspaceRow);}
  *
  * @since 0.1
  */
 public final class WorkspaceLimiter {
-    /** Limits at or above this are no limit. */
+    /** Rate at or above which a configured limit means unlimited. */
     public static final double NO_LIMIT_PER_SECOND = 1_000_000;
 
     private static final int MAX_REPORTED_WORKSPACES = 3;
 
-    /** Demand is known everywhere after this many tellings: to link boxes, across, and to the boxes there. */
+    /**
+     * Demand is known to all boxes after this many heartbeat intervals: to the link boxes, to the other failure
+     * domains, and to the boxes there.
+     */
     private static final int INTERVALS_TO_SETTLE = 4;
 
     private static final long MIN_SETTLE_MS = 6_000;
 
-    /** A workspace without arrivals for this long has to settle anew, in ms. */
+    /** Time without arrivals after which a workspace's demand has to settle again, in ms. */
     private static final long IDLE_MS = 10_000;
 
     private final MonotonicClock clock;
@@ -69,10 +72,10 @@
     private record Fleet(int knownBoxes, int reachableBoxes, Map<String, Double> othersPerSecond, long settleMs) {}
 
     /**
-     * Creates a limiter that knows of no other gateway.
+     * Creates a limiter that assumes a fleet of one gateway.
      *
      * @param clock clock of buckets and rates
-     * @param retryAfter spread of the hints
+     * @param retryAfter adds jitter to retry hints
      */
     public WorkspaceLimiter(MonotonicClock clock, RetryAfter retryAfter) {
         this.clock = clock;
@@ -80,12 +83,12 @@
     }
 
     /**
-     * Records the fleet as heartbeats tell it.
+     * Updates the fleet's size and demand from heartbeats.
      *
-     * @param knownBoxes entry boxes in the fleet, this one included
-     * @param heardBoxes entry boxes heard lately, this one included
-     * @param othersPerSecond arrivals a second by workspace at the other boxes heard
-     * @param tellingMs time between two tellings of demand, in ms
+     * @param knownBoxes entry boxes in the fleet, including this one
+     * @param reachableBoxes entry boxes whose heartbeats arrived recently, including this one
+     * @param othersPerSecond arrivals per second by workspace at the other reachable boxes
+     * @param demandIntervalMs time between two heartbeats that carry demand, in ms
      */
     public void updateFleet(
             int knownBoxes, int reachableBoxes, Map<String, Double> othersPerSecond, long demandIntervalMs) {
@@ -115,16 +118,18 @@
     }
 
     private double shareOf(WorkspaceRow row, Meter meter) {
-        Fleet now = fleet;
-        if (!meter.isSettled(clock.nowMs(), now.settleMs())) {
-            return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.reachableBoxes(), 0, 0);
+        Fleet currentFleet = fleet;
+        if (!meter.isSettled(clock.nowMs(), currentFleet.settleMs())) {
+            return WorkspaceShares.share(
+                    row.getRequestsPerSecond(), currentFleet.knownBoxes(), currentFleet.reachableBoxes(), 0, 0);
         }
         double own = meter.arrivals.perSecond();
-        double heard = own + now.othersPerSecond().getOrDefault(row.getName(), 0.0);
-        return WorkspaceShares.share(row.getRequestsPerSecond(), now.knownBoxes(), now.reachableBoxes(), own, heard);
+        double reachable = own + currentFleet.othersPerSecond().getOrDefault(row.getName(), 0.0);
+        return WorkspaceShares.share(
+                row.getRequestsPerSecond(), currentFleet.knownBoxes(), currentFleet.reachableBoxes(), own, reachable);
     }
 
-    /** Returns the busiest limited workspaces and their arrivals a second here, for heartbeats. */
+    /** Returns the busiest limited workspaces with their arrivals per second on this box, for heartbeats. */
     public List<WorkspaceDemand> demand() {
         List<WorkspaceDemand> demand = new ArrayList<>();
         meters.forEach((name, meter) -> {
--- a/core/src/test/java/org/wingstall/core/limit/AdvertisedLimitsTest.java
+++ b/core/src/test/java/org/wingstall/core/limit/AdvertisedLimitsTest.java
@@ -15,7 +15,7 @@
 import org.wingstall.core.peer.SimulatedGossipNetwork;
 import org.wingstall.schema.peer.LimitNews;
 
-/** What boxes know of the requests that an endpoint takes. */
+/** Tests that boxes agree on the request rate that an endpoint advertises. */
 public class AdvertisedLimitsTest {
     private static final int BOXES = 5;
     private static final int MOST_MESSAGES = 5000;
@@ -69,9 +69,12 @@
         return seeds;
     }
 
-    /** Boxes see other rates, and none, at the same time; in the end all know the same, and nothing is told any more. */
+    /**
+     * Boxes receive different rates, or none, at the same time; in the end all have the same rate and no more messages
+     * are sent.
+     */
     @Test(dataProvider = "seeds")
-    public void newsComesToRestAtOneRateInWhateverOrderItArrives(int seed) {
+    public void boxesConvergeToOneRateInAnyDeliveryOrder(int seed) {
         Random random = new Random(seed);
         for (int i = 0; i < 40; i++) {
             AdvertisedLimits limits = boxes.get(random.nextInt(BOXES)).limits;
@@ -90,7 +93,7 @@
     }
 
     @Test
-    public void aLowerRateHoldsAtOnceAndAHigherOneOnceTheLowerIsNotStatedAnyMore() {
+    public void lowerRateAppliesAtOnceAndHigherRateAfterADelay() {
         AdvertisedLimits limits = boxes.get(0).limits;
         limits.advertised(ENGINE, 4);
         limits.advertised(ENGINE, 1);
@@ -102,7 +105,7 @@
     }
 
     @Test
-    public void anUnreadableRateKeepsTheOneThatIsKnown() {
+    public void unreadableRateKeepsTheKnownRate() {
         AdvertisedLimits limits = boxes.get(0).limits;
         limits.advertised(ENGINE, 0.3);
         limits.advertisedUnreadable(ENGINE);
@@ -111,9 +114,9 @@
         assertTrue(limits.isLimited("e2@1"));
     }
 
-    /** An answer that was under way since before the endpoint was in need says nothing of its need. */
+    /** A response to a request sent before the endpoint advertised its limit does not show that the limit has ended. */
     @Test
-    public void anAnswerToAnEarlierRequestDoesNotEndALimit() {
+    public void responseToAnEarlierRequestDoesNotEndALimit() {
         AdvertisedLimits limits = boxes.get(0).limits;
         limits.advertised(ENGINE, 1);
         long sentMs = nowMs - 1;
@@ -125,7 +128,7 @@
     }
 
     @Test
-    public void anEndpointThatIsReleasedGetsMoreStepByStep() {
+    public void rateRampsUpAfterALimitEnds() {
         AdvertisedLimits limits = boxes.get(0).limits;
         limits.advertised(ENGINE, 1);
         nowMs += 2000;
@@ -138,7 +141,7 @@
     }
 
     @Test
-    public void aLimitThatNobodyStatesAnyMoreEnds() {
+    public void limitThatIsNoLongerAdvertisedExpires() {
         boxes.get(0).limits.advertised(ENGINE, 1);
         network.deliverAll(new Random(1));
         nowMs += 29_000;
@@ -147,9 +150,9 @@
         assertTrue(boxes.stream().allMatch(box -> box.rate().isEmpty()));
     }
 
-    /** Boxes that get no answers of the endpoint hear of the limit again as long as others get some. */
+    /** Boxes without responses from the endpoint receive the limit again as long as other boxes get responses. */
     @Test
-    public void aLimitThatHoldsOnIsToldAgain() {
+    public void unchangedLimitIsBroadcastAgain() {
         Random random = new Random(1);
         for (int i = 0; i < 60; i++) {
             boxes.get(0).limits.advertised(ENGINE, 1);
--- a/core/src/test/java/org/wingstall/core/limit/WorkspaceLimiterTest.java
+++ b/core/src/test/java/org/wingstall/core/limit/WorkspaceLimiterTest.java
@@ -27,25 +27,25 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void sharesOfTheBoxesHeardNeverExceedTheirPartOfTheLimit(int known, int heard, List<Double> demand) {
+    public void sharesOfReachableBoxesNeverExceedTheirPartOfTheLimit(int known, int reachable, List<Double> demand) {
         double total = demand.stream().mapToDouble(d -> d).sum();
         double sum = 0;
         for (double own : demand) {
-            double share = WorkspaceShares.share(100, known, heard, own, total);
+            double share = WorkspaceShares.share(100, known, reachable, own, total);
             assertTrue(share > 0);
             sum += share;
         }
-        assertTrue(sum <= 100.0 * heard / known + 1e-9, "sum " + sum);
+        assertTrue(sum <= 100.0 * reachable / known + 1e-9, "sum " + sum);
     }
 
     @Test
-    public void aNewlyActiveWorkspaceGetsAnEqualShareUntilDemandIsKnown() {
+    public void newlyActiveWorkspaceGetsAnEqualShareUntilDemandIsKnown() {
         WorkspaceLimiter limiter = limiter(3, Map.of());
         assertEquals(acceptedIn(limiter, 5), 5 * 30 / 3, 2);
     }
 
     @Test
-    public void laterTheShareFollowsDemand() {
+    public void shareFollowsDemandAfterItHasSettled() {
         WorkspaceLimiter limiter = limiter(3, Map.of());
         acceptedIn(limiter, 8);
         assertTrue(acceptedIn(limiter, 4) > 4 * 30 * 0.75);
