--- a/core/src/main/java/org/wingstall/core/retry/AttemptTimeouts.java
+++ b/core/src/main/java/org/wingstall/core/retry/AttemptTimeouts.java
@@ -3,17 +3,20 @@
 import org.wingstall.core.admit.StageTimes;
 
 /**
- * Says how long an attempt at a repeatable stage may go without progress before another endpoint is tried.
+ * Calculates how long an attempt at a repeatable stage may go without progress before another endpoint is tried.
  *
  * <p>{@code long timeoutMs = AttemptTimeouts.firstProgressMs(times, remainingMs);}
  *
  * @since 0.1
  */
 public final class AttemptTimeouts {
-    /** Longest time between two tokens of a stream, in ms; many times what 95 in 100 take. */
+    /** Maximum time between two tokens of a stream, in ms; many times the 95th percentile. */
     public static final long BETWEEN_TOKENS_MS = 500;
 
-    /** Time without a sign of life to any call after which an endpoint that is left alone counts as failing, in ms. */
+    /**
+     * Time without progress on any call after which an endpoint counts as failing although its attempt continues,
+     * because no other endpoint can take the call, in ms.
+     */
     public static final long UNRESPONSIVE_AFTER_MS = 1000;
 
     private static final double QUANTILE = 0.9;
@@ -23,17 +26,18 @@
     private AttemptTimeouts() {}
 
     /**
-     * Returns the time allowed until the first sign of an answer; half of what is left while nothing is known.
+     * Returns the timeout for the first progress of a response; half of the remaining time until enough samples are
+     * measured.
      *
-     * @param times recent times to the first sign
+     * @param times recent times until the first progress
      * @param remainingMs time left until the deadline, in ms
-     * @return the time allowed, in ms
+     * @return the timeout, in ms
      */
     public static long firstProgressMs(StageTimes times, long remainingMs) {
         if (!times.hasEnoughSamples()) {
             return Math.max(MIN_MS, remainingMs / 2);
         }
-        long usual = (long) (FACTOR * times.quantileMs(QUANTILE));
-        return Math.min(remainingMs, Math.max(MIN_MS, usual));
+        long typicalMs = (long) (FACTOR * times.quantileMs(QUANTILE));
+        return Math.min(remainingMs, Math.max(MIN_MS, typicalMs));
     }
 }
--- a/core/src/main/java/org/wingstall/core/retry/HedgePolicy.java
+++ b/core/src/main/java/org/wingstall/core/retry/HedgePolicy.java
@@ -5,7 +5,7 @@
 import org.wingstall.schema.settings.Policy;
 
 /**
- * Says when a call that has shown no sign of an answer is tried at a second endpoint as well, the first one going on.
+ * Decides when a call without progress is also sent to a second endpoint (hedged), while the first call continues.
  *
  * <p>{@code HedgePolicy.of(policy).delayMs(times).ifPresent(delayMs -> schedule(delayMs));}
  *
@@ -13,14 +13,14 @@
  */
 public interface HedgePolicy {
     /**
-     * Returns the time from the call to the second one.
+     * Returns the delay between a call and its hedge.
      *
-     * @param times recent times from call to first sign of an answer
-     * @return the time in ms, or empty when there is to be no second call
+     * @param times recent times from a call to the first progress of its response
+     * @return the delay in ms, or empty if the call is not hedged
      */
     OptionalLong delayMs(StageTimes times);
 
-    /** Returns the policy that the settings ask for. */
+    /** Returns the policy selected in the settings. */
     static HedgePolicy of(Policy policy) {
         return policy.getHedgeBudgetPercent() > 0 ? new QuantileHedgePolicy(policy.getHedgeQuantile()) : new NoHedge();
     }
--- a/core/src/main/java/org/wingstall/core/retry/QuantileHedgePolicy.java
+++ b/core/src/main/java/org/wingstall/core/retry/QuantileHedgePolicy.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 import org.wingstall.core.admit.StageTimes;
 
-/** Calls a second endpoint when a call takes longer than a quantile of recent ones; never while nothing is measured. */
+/** Hedges a call that takes longer than a quantile of recent calls; never hedges until enough samples are measured. */
 final class QuantileHedgePolicy implements HedgePolicy {
     private static final long MIN_DELAY_MS = 10;
 
--- a/core/src/main/java/org/wingstall/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/wingstall/core/retry/RetryBudget.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Allows retries as a share of calls, so that a failing service is not buried under its own retries.
+ * Limits retries to a percentage of calls, so that retries don't overload a failing service.
  *
- * <p>{@code budget.called(); if (budget.tryRetry()) { retry(); }}
+ * <p>{@code budget.recordCall(); if (budget.tryRetry()) { retry(); }}
  *
  * @since 0.1
  */
@@ -20,36 +20,37 @@
     /**
      * Creates a budget.
      *
-     * @param percent retries for a hundred calls
+     * @param percent retries per hundred calls
      */
     public RetryBudget(double percent) {
         this(percent, MAX_SAVED_RETRIES);
     }
 
     /**
-     * Creates a budget; it is full from the start, so that a box that has just started can carry one endpoint's calls over
-     * to others. A part of one retry, as a box of a large fleet has, is made up to one by calls.
+     * Creates a budget that is full at the start, so that a newly started box can move one endpoint's calls to other
+     * endpoints. If the maximum is less than one retry, as on a box of a large fleet, calls still fill the budget up to
+     * one.
      *
      * @param percent retries for a hundred calls
-     * @param saved most retries saved up
+     * @param maxSaved maximum number of retries saved up
      */
-    public RetryBudget(double percent, double saved) {
+    public RetryBudget(double percent, double maxSaved) {
         this.gainPerCall = Math.round(percent / 100 * RETRY_COST);
-        this.maxBalance = Math.round(Math.max(1, saved) * RETRY_COST);
-        this.balance = new AtomicLong(Math.round(saved * RETRY_COST));
+        this.maxBalance = Math.round(Math.max(1, maxSaved) * RETRY_COST);
+        this.balance = new AtomicLong(Math.round(maxSaved * RETRY_COST));
     }
 
-    /** Records a first call. */
+    /** Records a call that is not a retry, which adds to the budget. */
     public void recordCall() {
         balance.accumulateAndGet(gainPerCall, (now, gain) -> Math.min(now + gain, maxBalance));
     }
 
-    /** Returns whether the budget has a retry left. */
+    /** Returns whether the budget allows a retry now. */
     public boolean hasRetryLeft() {
         return balance.get() >= RETRY_COST;
     }
 
-    /** Takes one retry out of the budget, if it has one left. */
+    /** Takes one retry from the budget if it allows one; returns whether it did. */
     public boolean tryRetry() {
         while (true) {
             long now = balance.get();
--- a/core/src/main/java/org/wingstall/core/retry/RetryRules.java
+++ b/core/src/main/java/org/wingstall/core/retry/RetryRules.java
@@ -1,19 +1,19 @@
 package org.wingstall.core.retry;
 
 /**
- * Decides whether an attempt at a stage that gave no answer may be followed by another one.
+ * Decides whether a failed or unanswered attempt at a stage may be retried.
  *
  * <p>{@code RetryRules.Decision next = RetryRules.decide(AttemptOutcome.LOST, false, 1, budget);}
  *
  * @since 0.1
  */
 public final class RetryRules {
-    /** Most attempts at one stage. */
+    /** Maximum number of attempts at one stage. */
     public static final int MAX_ATTEMPTS = 4;
 
     private RetryRules() {}
 
-    /** How an attempt ended. */
+    /** How one attempt at a stage ended. */
     public enum AttemptOutcome {
         /** No byte of the call was handed to the endpoint. */
         NOT_SENT("not-sent"),
@@ -21,11 +21,11 @@
         REFUSED_UNRUN("refused-unrun"),
         /** The endpoint answered that the call failed. */
         FAILED("failed"),
-        /** The connection broke after the call was handed over. */
+        /** The connection broke after the call was sent to the endpoint. */
         LOST("lost"),
         /** The endpoint made no progress in time. */
         TIMED_OUT("timed-out"),
-        /** The answer belonged to another call. */
+        /** The response belonged to another call. */
         MISMATCHED("mismatched");
 
         private final String code;
@@ -34,7 +34,7 @@
             this.code = code;
         }
 
-        /** Returns the code that counters and logs show. */
+        /** Returns the code used in metrics and logs. */
         public String code() {
             return code;
         }
@@ -45,11 +45,11 @@
         }
     }
 
-    /** What follows on an attempt. */
+    /** The next step after an attempt. */
     public enum Decision {
         /** Another endpoint is called. */
         RETRY,
-        /** The stage may have run and can't be repeated: the outcome is unknown. */
+        /** The stage may have run and is not repeatable: the outcome is unknown. */
         UNKNOWN,
         /** The stage ran and failed. */
         FAILED,
@@ -58,28 +58,28 @@
     }
 
     /**
-     * Returns whether a further attempt would be allowed now.
+     * Returns whether another attempt would be allowed now.
      *
      * @param attempts attempts made so far
      * @param budget the service's budget; nothing is taken from it
-     * @return whether a retry is left
+     * @return whether a retry is allowed
      */
     public static boolean canRetry(int attempts, RetryBudget budget) {
         return attempts < MAX_ATTEMPTS && budget.hasRetryLeft();
     }
 
     /**
-     * Decides what follows.
+     * Decides the next step after an attempt.
      *
-     * @param end how the attempt ended
+     * @param outcome how the attempt ended
      * @param repeatable whether the stage may run more than once
      * @param attempts attempts made so far
-     * @param budget the service's budget; a retry takes from it
-     * @return what follows
+     * @param budget the service's budget; a retry is charged to it
+     * @return the next step
      */
-    public static Decision decide(AttemptOutcome end, boolean repeatable, int attempts, RetryBudget budget) {
-        if (!repeatable && !end.certainlyNotRun()) {
-            return end == AttemptOutcome.FAILED ? Decision.FAILED : Decision.UNKNOWN;
+    public static Decision decide(AttemptOutcome outcome, boolean repeatable, int attempts, RetryBudget budget) {
+        if (!repeatable && !outcome.certainlyNotRun()) {
+            return outcome == AttemptOutcome.FAILED ? Decision.FAILED : Decision.UNKNOWN;
         }
         if (attempts >= MAX_ATTEMPTS || !budget.tryRetry()) {
             return Decision.EXHAUSTED;
--- a/core/src/test/java/org/wingstall/core/retry/HedgePolicyTest.java
+++ b/core/src/test/java/org/wingstall/core/retry/HedgePolicyTest.java
@@ -18,22 +18,22 @@
     }
 
     @DataProvider
-    Object[][] policiesWithoutSecondCalls() {
+    Object[][] policiesThatNeverHedge() {
         return new Object[][] {
             {"switched off", new NoHedge(), times(100)}, {"nothing measured", new QuantileHedgePolicy(0.95), times(3)},
         };
     }
 
-    @Test(dataProvider = "policiesWithoutSecondCalls")
-    public void thereIsNoSecondCall(String name, HedgePolicy policy, StageTimes times) {
+    @Test(dataProvider = "policiesThatNeverHedge")
+    public void callIsNotHedged(String name, HedgePolicy policy, StageTimes times) {
         assertEquals(policy.delayMs(times), OptionalLong.empty());
     }
 
     @Test
-    public void theSecondCallComesAfterTheQuantileOfRecentTimes() {
-        long usualMs = new QuantileHedgePolicy(0.5).delayMs(times(100)).orElseThrow();
-        long lateMs = new QuantileHedgePolicy(0.95).delayMs(times(100)).orElseThrow();
-        assertTrue(usualMs >= 40 && usualMs < 60, "after " + usualMs + " ms");
-        assertTrue(lateMs >= 400 && lateMs < 600, "after " + lateMs + " ms");
+    public void hedgeStartsAfterTheQuantileOfRecentTimes() {
+        long medianMs = new QuantileHedgePolicy(0.5).delayMs(times(100)).orElseThrow();
+        long p95Ms = new QuantileHedgePolicy(0.95).delayMs(times(100)).orElseThrow();
+        assertTrue(medianMs >= 40 && medianMs < 60, "after " + medianMs + " ms");
+        assertTrue(p95Ms >= 400 && p95Ms < 600, "after " + p95Ms + " ms");
     }
 }
--- a/core/src/test/java/org/wingstall/core/retry/RetryRulesTest.java
+++ b/core/src/test/java/org/wingstall/core/retry/RetryRulesTest.java
@@ -11,7 +11,7 @@
 
 public class RetryRulesTest {
     @DataProvider
-    Object[][] ends() {
+    Object[][] outcomes() {
         return new Object[][] {
             {AttemptOutcome.NOT_SENT, false, Decision.RETRY}, {AttemptOutcome.REFUSED_UNRUN, false, Decision.RETRY},
             {AttemptOutcome.FAILED, false, Decision.FAILED}, {AttemptOutcome.LOST, false, Decision.UNKNOWN},
@@ -21,19 +21,19 @@
         };
     }
 
-    @Test(dataProvider = "ends")
-    public void onlyWhatCertainlyDidNotRunOrMayRepeatIsRetried(
-            AttemptOutcome end, boolean repeatable, Decision expected) {
-        assertEquals(RetryRules.decide(end, repeatable, 1, new RetryBudget(20)), expected);
-        Decision last = RetryRules.decide(end, repeatable, RetryRules.MAX_ATTEMPTS, new RetryBudget(20));
+    @Test(dataProvider = "outcomes")
+    public void onlyCallsThatDidNotRunOrAreRepeatableAreRetried(
+            AttemptOutcome outcome, boolean repeatable, Decision expected) {
+        assertEquals(RetryRules.decide(outcome, repeatable, 1, new RetryBudget(20)), expected);
+        Decision last = RetryRules.decide(outcome, repeatable, RetryRules.MAX_ATTEMPTS, new RetryBudget(20));
         assertEquals(last, expected == Decision.RETRY ? Decision.EXHAUSTED : expected);
     }
 
     @Test
-    public void retriesAreAShareOfCalls() {
+    public void retriesAreLimitedToAPercentageOfCalls() {
         RetryBudget budget = new RetryBudget(10);
         while (budget.tryRetry()) {
-            // Uses up what a fresh budget allows.
+            // Uses up the initial budget.
         }
         for (int i = 0; i < 10; i++) {
             budget.recordCall();
