--- a/core/src/main/java/org/wingstall/core/claim/ClaimDecision.java
+++ b/core/src/main/java/org/wingstall/core/claim/ClaimDecision.java
@@ -3,7 +3,7 @@
 import org.wingstall.schema.table.ClaimRow;
 
 /**
- * What an attempt does next with its claim.
+ * Describes the next step of an attempt for its claim.
  *
  * <p>{@code if (decision instanceof ClaimDecision.Run run) { dispatch(run.version()); }}
  *
@@ -11,7 +11,7 @@
  */
 public sealed interface ClaimDecision {
     /**
-     * Write the row if it still has the version; only a definite yes counts.
+     * Write the row if its version is unchanged; only a confirmed write counts as a success.
      *
      * @param expectedVersion version that the row must have; 0 for an absent row
      * @param row the new row
@@ -26,22 +26,22 @@
     record Run(long version) implements ClaimDecision {}
 
     /**
-     * The request has run: give the recorded answer again.
+     * The request has already run: return the recorded answer.
      *
-     * @param row the row with the answer
+     * @param row the row with the recorded answer
      */
     record Repeat(ClaimRow row) implements ClaimDecision {}
 
     /**
      * Another attempt holds the key.
      *
-     * @param leftMs time left of that attempt's deadline, in ms; negative when it has passed
+     * @param remainingMs time until that attempt's deadline, in ms; negative when it has passed
      */
     record Held(long remainingMs) implements ClaimDecision {}
 
-    /** The key belongs to another body. */
+    /** The key was used for a request with another body. */
     record KeyReused() implements ClaimDecision {}
 
-    /** Nothing is left to do. */
+    /** No action is needed. */
     record Nothing() implements ClaimDecision {}
 }
--- a/core/src/main/java/org/wingstall/core/claim/ClaimProtocol.java
+++ b/core/src/main/java/org/wingstall/core/claim/ClaimProtocol.java
@@ -3,10 +3,11 @@
 import org.wingstall.schema.table.ClaimRow;
 
 /**
- * Decides what an attempt at a non-repeatable request may do next, from the claim row as the table holds it.
+ * Decides what an attempt at a non-repeatable request may do next, given the current claim row in the table.
  *
- * <p>The rules are those of {@code spec/promela/claims.pml}. No rule reads a clock to permit a run: an attempt runs only
- * when the table definitely holds {@code CLAIMED} by that very attempt, and nobody takes over {@code CLAIMED}.
+ * <p>The rules follow the model in {@code spec/promela/claims.pml}. No rule permits a run based on a clock: an attempt
+ * runs only when the table is known to hold {@code CLAIMED} by the same attempt, and no attempt takes over another's
+ * {@code CLAIMED} row.
  *
  * <p>{@code ClaimDecision next = ClaimProtocol.acquire(attempt, fingerprint, version, row, nowMs);}
  *
@@ -16,13 +17,13 @@
     private ClaimProtocol() {}
 
     /**
-     * Decides how an attempt that wants the key goes on.
+     * Decides the next step of an attempt that wants to claim the key.
      *
      * @param mine the claim that the attempt wants to write
      * @param version version of the row; 0 when it is absent
      * @param row the row, or null when it is absent
-     * @param nowMs wall-clock time in ms; tells {@code in-progress} from {@code unknown} and nothing else
-     * @return what to do
+     * @param nowMs wall-clock time in ms; used only to distinguish {@code in-progress} from {@code unknown}
+     * @return the next step
      */
     public static ClaimDecision acquire(ClaimRow mine, long version, ClaimRow row, long nowMs) {
         if (row == null) {
@@ -36,12 +37,12 @@
     }
 
     /**
-     * Decides how an attempt that was given up before it ran makes sure that it never holds the key.
+     * Decides how an attempt that was cancelled before it ran ensures that it never holds the key.
      *
      * @param mine the claim that the attempt may have written
      * @param version version of the row; 0 when it is absent
      * @param row the row, or null when it is absent
-     * @return a write that fences off every late write of the attempt, or {@link ClaimDecision.Nothing}
+     * @return a write that makes every late write of the attempt fail, or {@link ClaimDecision.Nothing}
      */
     public static ClaimDecision abandon(ClaimRow mine, long version, ClaimRow row) {
         ClaimRow abandoned = withState(mine, ClaimRow.State.ABANDONED);
@@ -63,8 +64,8 @@
         if (!row.getFingerprint().equals(mine.getFingerprint())) {
             return new ClaimDecision.KeyReused();
         }
-        long leftMs = row.getClaimedAtMs() + row.getDeadlineMs() - nowMs;
-        return new ClaimDecision.Held(leftMs);
+        long remainingMs = row.getClaimedAtMs() + row.getDeadlineMs() - nowMs;
+        return new ClaimDecision.Held(remainingMs);
     }
 
     private static ClaimDecision done(ClaimRow mine, ClaimRow row) {
--- a/core/src/test/java/org/wingstall/core/claim/ClaimProtocolTest.java
+++ b/core/src/test/java/org/wingstall/core/claim/ClaimProtocolTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test(dataProvider = "acquisitions")
-    public void anAttemptRunsOnlyOnItsOwnClaim(ClaimRow found, long version, ClaimDecision expected) {
+    public void attemptRunsOnlyWithItsOwnClaim(ClaimRow found, long version, ClaimDecision expected) {
         assertEquals(ClaimProtocol.acquire(MINE, version, found, 1200), expected);
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Test(dataProvider = "abandonments")
-    public void abandoningFencesOffLateWritesAndHarmsNobody(ClaimRow found, long version, boolean writes) {
+    public void abandoningBlocksLateWritesAndDoesNotAffectOtherAttempts(ClaimRow found, long version, boolean writes) {
         ClaimDecision decision = ClaimProtocol.abandon(MINE, version, found);
         assertEquals(decision instanceof ClaimDecision.Write, writes);
         if (decision instanceof ClaimDecision.Write write) {
