--- a/core/src/main/java/org/wingstall/core/admit/AdmissionPolicies.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmissionPolicies.java
@@ -3,7 +3,7 @@
 import org.wingstall.schema.settings.Policy;
 
 /**
- * Makes the admission that the settings name.
+ * Creates the admission policy named in the settings.
  *
  * <p>{@code AdmissionPolicy admission = AdmissionPolicies.of(settings.getPolicy());}
  *
@@ -13,10 +13,10 @@
     private AdmissionPolicies() {}
 
     /**
-     * Returns an admission.
+     * Returns the admission policy for the settings.
      *
-     * @param policy settings of the policy
-     * @return the admission
+     * @param policy policy settings
+     * @return the admission policy
      */
     public static AdmissionPolicy of(Policy policy) {
         return switch (policy.getAdmission()) {
--- a/core/src/main/java/org/wingstall/core/admit/AdmissionPolicy.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmissionPolicy.java
@@ -1,20 +1,20 @@
 package org.wingstall.core.admit;
 
 /**
- * Decides whether the stages left of a request can still land within its deadline.
+ * Decides whether the remaining stages of a request can finish before its deadline.
  *
- * <p>{@code if (!admission.canLand(remainingMs, stagesLeftMs, waitMs)) { refuse(); }}
+ * <p>{@code if (!admission.canMeetDeadline(remainingMs, remainingStagesMs, waitMs)) { refuse(); }}
  *
  * @since 0.1
  */
 public interface AdmissionPolicy {
     /**
-     * Decides on a request.
+     * Returns whether a request is expected to meet its deadline.
      *
      * @param remainingMs time left until the deadline, in ms
-     * @param stagesLeftMs estimated time of the stages left, in ms
-     * @param waitMs estimated wait for the first of them, in ms
-     * @return whether it can land
+     * @param remainingStagesMs estimated total time of the remaining stages, in ms
+     * @param waitMs estimated queueing time before the first of them, in ms
+     * @return whether it can meet its deadline
      */
-    boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs);
+    boolean canMeetDeadline(double remainingMs, double remainingStagesMs, double waitMs);
 }
--- a/core/src/main/java/org/wingstall/core/admit/AdmitAll.java
+++ b/core/src/main/java/org/wingstall/core/admit/AdmitAll.java
@@ -1,9 +1,9 @@
 package org.wingstall.core.admit;
 
-/** Takes in every request; a baseline. */
+/** Admits every request; a baseline for comparisons. */
 final class AdmitAll implements AdmissionPolicy {
     @Override
-    public boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs) {
+    public boolean canMeetDeadline(double remainingMs, double remainingStagesMs, double waitMs) {
         return true;
     }
 }
--- a/core/src/main/java/org/wingstall/core/admit/DeadlineAdmission.java
+++ b/core/src/main/java/org/wingstall/core/admit/DeadlineAdmission.java
@@ -1,9 +1,9 @@
 package org.wingstall.core.admit;
 
-/** Takes in a request whose stages and wait fit into the time left. */
+/** Admits a request if its remaining stages and queueing time fit into the time until its deadline. */
 final class DeadlineAdmission implements AdmissionPolicy {
     @Override
-    public boolean canMeetDeadline(double remainingMs, double stagesLeftMs, double waitMs) {
-        return stagesLeftMs + waitMs <= remainingMs;
+    public boolean canMeetDeadline(double remainingMs, double remainingStagesMs, double waitMs) {
+        return remainingStagesMs + waitMs <= remainingMs;
     }
 }
--- a/core/src/main/java/org/wingstall/core/admit/StageTimes.java
+++ b/core/src/main/java/org/wingstall/core/admit/StageTimes.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * A histogram of a stage's times that forgets: when it is full, every count is halved.
+ * Collects recent durations of a stage in a histogram; every count is halved when the total reaches a limit, so that
+ * old samples lose weight.
  *
  * <p>{@code times.record(120); long medianMs = times.quantileMs(0.5);}
  *
@@ -23,19 +24,19 @@
     /**
      * Creates a histogram without samples.
      *
-     * @param expectedMs answer to every question until enough samples are there, in ms
+     * @param expectedMs value returned for every quantile until there are enough samples, in ms
      */
     public StageTimes(long expectedMs) {
         this.expectedMs = expectedMs;
     }
 
     /**
-     * Adds a sample.
+     * Records a duration.
      *
-     * @param ms time of a stage, in ms
+     * @param durationMs duration of a stage, in ms
      */
-    public void record(double ms) {
-        counts.incrementAndGet(bucketOf(ms));
+    public void record(double durationMs) {
+        counts.incrementAndGet(bucketOf(durationMs));
         if (total.incrementAndGet() >= HALVE_AT_SAMPLES) {
             halve();
         }
@@ -45,25 +46,25 @@
      * Returns a quantile of the recent samples.
      *
      * @param quantile quantile in (0, 1)
-     * @return upper bound of the bucket that holds it, in ms
+     * @return upper bound of the bucket that contains it, in ms
      */
     public double quantileMs(double quantile) {
         long samples = sampleCount();
         if (samples < MIN_SAMPLES) {
             return expectedMs;
         }
-        double wanted = samples * quantile;
-        long seen = 0;
+        double rank = samples * quantile;
+        long cumulative = 0;
         for (int i = 0; i < BUCKETS; i++) {
-            seen += counts.get(i);
-            if (seen >= wanted) {
+            cumulative += counts.get(i);
+            if (cumulative >= rank) {
                 return Math.pow(BUCKET_GROWTH, i);
             }
         }
         return Math.pow(BUCKET_GROWTH, BUCKETS);
     }
 
-    /** Returns whether there are enough samples to go by. */
+    /** Returns whether there are enough samples for a quantile. */
     public boolean hasEnoughSamples() {
         return sampleCount() >= MIN_SAMPLES;
     }
@@ -77,18 +78,18 @@
     }
 
     private void halve() {
-        long left = 0;
+        long remaining = 0;
         for (int i = 0; i < BUCKETS; i++) {
-            left += counts.updateAndGet(i, count -> count / 2);
+            remaining += counts.updateAndGet(i, count -> count / 2);
         }
-        total.set(left);
+        total.set(remaining);
     }
 
-    private static int bucketOf(double ms) {
-        if (ms <= 1) {
+    private static int bucketOf(double durationMs) {
+        if (durationMs <= 1) {
             return 0;
         }
-        int bucket = (int) Math.ceil(Math.log(ms) / Math.log(BUCKET_GROWTH));
+        int bucket = (int) Math.ceil(Math.log(durationMs) / Math.log(BUCKET_GROWTH));
         return Math.min(BUCKETS - 1, bucket);
     }
 }
--- a/core/src/test/java/org/wingstall/core/admit/StageTimesTest.java
+++ b/core/src/test/java/org/wingstall/core/admit/StageTimesTest.java
@@ -7,14 +7,14 @@
 
 public class StageTimesTest {
     @Test
-    public void theExpectedTimeStandsInUntilMeasured() {
+    public void expectedTimeIsUsedUntilThereAreEnoughSamples() {
         StageTimes times = new StageTimes(70);
         times.record(5);
         assertEquals(times.quantileMs(0.5), 70.0);
     }
 
     @Test
-    public void quantilesAreWithinABucketOfTheTruth() {
+    public void quantilesAreAccurateToOneBucket() {
         StageTimes times = new StageTimes(70);
         for (int i = 1; i <= 1000; i++) {
             times.record(i);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void oldSamplesAreForgotten() {
+    public void oldSamplesLoseWeight() {
         StageTimes times = new StageTimes(70);
         for (int i = 0; i < 2000; i++) {
             times.record(10);
