--- a/core/src/main/java/org/wingstall/core/answer/RefusedException.java
+++ b/core/src/main/java/org/wingstall/core/answer/RefusedException.java
@@ -1,7 +1,7 @@
 package org.wingstall.core.answer;
 
 /**
- * Ends a request with a reason, a detail in words and a hint when to come back.
+ * Ends a request with a reason, a detail text and a hint when to retry.
  *
  * <p>{@code throw new RefusedException(Reason.UNKNOWN_PIPELINE, "pipeline 'lunch' is not configured", 0);}
  *
@@ -15,8 +15,8 @@
      * Creates a refusal.
      *
      * @param reason why the request ends
-     * @param detail the reason in words, with the value at fault
-     * @param retryAfterMs when to come back, in ms; 0 when coming back does not help
+     * @param detail text for the caller, including the value that caused the refusal
+     * @param retryAfterMs when to retry, in ms; 0 when a retry does not help
      */
     public RefusedException(Reason reason, String detail, long retryAfterMs) {
         super(detail, null, false, false);
@@ -29,7 +29,7 @@
         return reason;
     }
 
-    /** Returns when to come back, in ms. */
+    /** Returns when to retry, in ms; 0 when a retry does not help. */
     public long retryAfterMs() {
         return retryAfterMs;
     }
--- a/core/src/main/java/org/wingstall/core/answer/RetryAfter.java
+++ b/core/src/main/java/org/wingstall/core/answer/RetryAfter.java
@@ -3,9 +3,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Spreads the hints that tell refused callers when to come back, so that they don't come back as one wave.
+ * Adds jitter to the retry hints of refused callers, so that they don't all retry at the same time.
  *
- * <p>{@code new RetryAfter(random::nextDouble).spreadMs(400)} is between 400 and 800.
+ * <p>{@code new RetryAfter(random::nextDouble).jitteredMs(400)} is between 400 and 800.
  *
  * @since 0.1
  */
@@ -16,18 +16,18 @@
     private final DoubleSupplier random;
 
     /**
-     * Creates the spread.
+     * Creates a source of jittered hints.
      *
-     * @param random source of numbers in [0, 1)
+     * @param random source of random numbers in [0, 1)
      */
     public RetryAfter(DoubleSupplier random) {
         this.random = random;
     }
 
     /**
-     * Returns a hint between the expected wait and twice that.
+     * Returns a hint between the expected wait, limited to 50 ms to 30 s, and twice that.
      *
-     * @param expectedWaitMs time until there is likely room, in ms
+     * @param expectedWaitMs expected time until there is capacity, in ms
      * @return the hint, in ms
      */
     public long jitteredMs(long expectedWaitMs) {
