--- a/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
@@ -13,9 +13,9 @@
 import org.wingstall.relay.wire.RelayRequest;
 import org.wingstall.relay.wire.ResponseHead;
 
-/** One sending of a request to an endpoint. Confined to the request loop. */
+/** One attempt to send a request to an endpoint. Confined to the request loop. */
 final class EndpointAttempt implements ResponseListener {
-    /** Longest wait for a connection, in ms; the way there and back takes about one, a busy box some tens. */
+    /** Connect timeout, in ms; a round trip takes about 1 ms, a busy box takes some tens of ms. */
     private static final int CONNECT_TIMEOUT_MS = 250;
 
     private static final int FIRST_SERVER_ERROR = 500;
@@ -37,34 +37,34 @@
 
     /** The request that the attempt is for. */
     interface Owner {
-        /** The request goes out now; from here on the endpoint may run it. */
+        /** The request is about to be written to the connection; from here on the endpoint may run it. */
         void requestSent();
 
-        /** Returns the way of the answer to the caller. */
+        /** Returns the forwarder of the response to the caller. */
         ResponseForwarder response();
 
-        /** The endpoint began to answer, so it has read its inputs. */
+        /** The response began, so the endpoint has read its inputs. */
         void firstByte();
 
-        /** A whole answer went to the caller. */
+        /** A complete response was forwarded to the caller. */
         void complete(int status);
 
-        /** Nothing was sent. */
+        /** The request was not sent. */
         void notSent(EndpointAttempt ended, String detail);
 
         /** The endpoint states that it did not run the request. */
         void notRun(EndpointAttempt ended, String detail);
 
-        /** Another endpoint stands at the address, so the one that was meant has not been asked. */
+        /** Another endpoint process is at the address, so the intended endpoint did not get the request. */
         void wrongIncarnation(EndpointAttempt ended, String detail);
 
-        /** There is no whole answer; the request may have run. */
+        /** The response is missing or incomplete; the request may have run. */
         void lost(EndpointAttempt ended, String detail);
 
-        /** Returns whether a failure that the endpoint answered with goes to the caller. */
+        /** Returns whether an error response of the endpoint is forwarded to the caller rather than retried. */
         boolean forwardsFailure(int status);
 
-        /** The endpoint answered with a failure, and another one is to be asked. */
+        /** The endpoint returned an error response, and the request is to be sent to another endpoint. */
         void failedAtEndpoint(EndpointAttempt ended, int status);
     }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Ends the attempt without a word to its owner; the endpoint drops the request when the connection closes. */
+    /** Ends the attempt without notifying its owner; the endpoint drops the request when the connection closes. */
     void cancel() {
         if (markEnded() && exchange != null) {
             exchange.cancel();
@@ -231,7 +231,7 @@
         return new EndpointLoss(endpoint, nowMs - startedAtMs, head == null ? -1 : nowMs - headAtMs, failure);
     }
 
-    /** Ends the attempt without an answer of its endpoint; its owner may send the request elsewhere. */
+    /** Gives the attempt up as failed; its owner may send the request to another endpoint. */
     void abandon(String detail) {
         if (markEnded()) {
             endpoint.recordFailure(detail);
@@ -240,7 +240,7 @@
         }
     }
 
-    /** Returns whether the attempt had not ended before. */
+    /** Marks the attempt as ended; returns false if it had ended before. */
     private boolean markEnded() {
         if (ended) {
             return false;
--- a/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
@@ -10,28 +10,28 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * Finds the endpoint that one request is sent to next: an engine by the box that chooses for all, another endpoint by this box.
- * Confined to the request loop.
+ * Finds the endpoint for the next attempt of a request: the coordinator selects engines, this box selects other
+ * endpoints. Confined to the request loop.
  *
- * <p>{@code search.begin(shunned, inputsPlace, untilTargetMs, listener);}
+ * <p>{@code search.start(endpointsToAvoid, inputs, untilTargetMs, listener);}
  */
 final class EndpointSearch {
     private final RelayContext context;
     private final TargetService service;
     private final RelayRequest request;
 
-    /** Takes the end of a search, now or soon. */
+    /** Receives the result of a search, either during the call that starts it or later. */
     interface Listener {
-        /** An engine was chosen. */
+        /** An engine was selected. */
         void found(EngineAssignment engine);
 
-        /** Another endpoint was chosen. */
+        /** An endpoint that is not an engine was selected. */
         void found(RelayEndpoint endpoint);
 
-        /** All endpoints that may be asked have reduced capacity, which is used up; one may be asked after so many ms. */
-        void atCapacity(long againMs);
+        /** All candidates have reduced capacity, which is used up; one has capacity again after the given time. */
+        void atCapacity(long retryAfterMs);
 
-        /** No endpoint may be asked. */
+        /** There is no candidate. */
         void noEndpoint();
     }
 
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Looks for an endpoint.
+     * Starts a search.
      *
-     * @param shunned names of incarnations that are better left alone
-     * @param inputs where the request's inputs lie
-     * @param untilTargetMs time left until its first answer is wanted, in ms
-     * @param listener takes the end
+     * @param endpointsToAvoid incarnations that are used only if too few others are left
+     * @param inputs location of the request's inputs
+     * @param untilTargetMs time left until the route's latency target, in ms
+     * @param listener receives the result
      */
     void start(Set<String> shunned, InputLocation inputs, long untilTargetMs, Listener listener) {
         List<RelayEndpoint> candidates = service.candidates(shunned);
@@ -77,7 +77,7 @@
     }
 
     private void chooseLocally(List<RelayEndpoint> candidates, Listener listener) {
-        // Most requests to engines have a prompt, and one box chooses for those.
+        // A coordinator selects engines for requests with a prompt, which are most of them; the rest is a fallback.
         SelectionMode chooser = service.hasEngines() ? SelectionMode.FALLBACK : SelectionMode.INDEPENDENT;
         List<RelayEndpoint> open = context.sendLimits().withinLimits(candidates, chooser);
         if (open.isEmpty()) {
--- a/relay/src/main/java/org/wingstall/relay/run/EventStreamBuffer.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EventStreamBuffer.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Cuts a stream at the ends of its events and remembers the identifier of the last whole one. */
+/** Splits a stream of server-sent events at event boundaries and keeps the identifier of the last complete event. */
 final class EventStreamBuffer {
     private static final String ID = "id:";
 
@@ -13,7 +13,7 @@
     private String pendingEventId;
     private String lastEventId;
 
-    /** Takes bytes in and returns those that end whole events. */
+    /** Adds bytes and returns all buffered bytes that form complete events. */
     byte[] add(ByteBuf content) {
         ByteArrayOutputStream whole = new ByteArrayOutputStream();
         while (content.isReadable()) {
@@ -31,7 +31,7 @@
         return whole.toByteArray();
     }
 
-    /** Ends a line; returns whether it was the empty one that ends an event. */
+    /** Processes a complete line; returns whether it is the empty line that ends an event. */
     private boolean finishLine() {
         String text = line.toString(StandardCharsets.UTF_8).strip();
         line.reset();
@@ -41,7 +41,7 @@
         return text.isEmpty();
     }
 
-    /** Drops an event that was broken off. */
+    /** Discards an incomplete event. */
     void discardPartialEvent() {
         pending.reset();
         line.reset();
@@ -52,7 +52,7 @@
         return pending.size() > 0;
     }
 
-    /** Returns the identifier of the last whole event, or null. */
+    /** Returns the identifier of the last complete event, or null. */
     String lastEventId() {
         return lastEventId;
     }
--- a/relay/src/main/java/org/wingstall/relay/run/OverdueResponseCheck.java
+++ b/relay/src/main/java/org/wingstall/relay/run/OverdueResponseCheck.java
@@ -4,33 +4,37 @@
 import java.util.function.BooleanSupplier;
 import org.wingstall.relay.engine.EngineAssignment;
 
-/** Has an engine asked for its state when its first answer to a request is overdue. */
+/** Queries the state of an engine when its first response to a request is overdue. */
 final class OverdueResponseCheck {
-    /** FleetBudget of the usual first answers beyond which one is overdue. */
+    /** Multiple of the typical time to the first response after which a response is overdue. */
     private static final double OVERDUE_FACTOR = 2;
 
-    /** Time that is added to it, in ms: a packet that is lost is sent again within. */
+    /** Time added to that, in ms; a lost packet is retransmitted within it. */
     private static final long OVERDUE_EXTRA_MS = 200;
 
     private OverdueResponseCheck() {}
 
     /**
-     * Watches one sending of a request.
+     * Schedules the check for one attempt.
      *
-     * @param parts what all requests share
-     * @param chosen the engine
-     * @param usualMs time that first answers usually take, in ms
-     * @param waits whether the request still waits for its first answer
-     * @param silent what to do when the engine does not tell its state either
+     * @param parts shared dependencies
+     * @param chosen the engine of the attempt
+     * @param typicalMs typical time to the first response, in ms
+     * @param awaitsResponse whether the request still waits for its first response
+     * @param onUnresponsive run if the engine does not answer the state query either
      */
     static void schedule(
-            RelayContext parts, EngineAssignment chosen, long usualMs, BooleanSupplier waits, Runnable silent) {
+            RelayContext parts,
+            EngineAssignment chosen,
+            long typicalMs,
+            BooleanSupplier awaitsResponse,
+            Runnable onUnresponsive) {
         Runnable look = () -> {
-            if (waits.getAsBoolean() && !chosen.ended()) {
-                parts.engineStateQuery().accept(chosen.endpoint(), silent);
+            if (awaitsResponse.getAsBoolean() && !chosen.ended()) {
+                parts.engineStateQuery().accept(chosen.endpoint(), onUnresponsive);
             }
         };
-        long dueMs = Math.round(OVERDUE_FACTOR * usualMs) + OVERDUE_EXTRA_MS;
+        long dueMs = Math.round(OVERDUE_FACTOR * typicalMs) + OVERDUE_EXTRA_MS;
         parts.loop().schedule(look, dueMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/RelayContext.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayContext.java
@@ -23,30 +23,30 @@
 import org.wingstall.relay.wire.EndpointProtocol;
 
 /**
- * What all requests of a box share.
+ * Holds the dependencies that all requests of a box share.
  *
- * <p>{@code new RelayRun(parts, call, request, route, workspace).begin();}
+ * <p>{@code new RelayHandler(context, ready)}
  *
  * @param loop the request loop
  * @param clock monotonic clock
  * @param random source of random numbers
  * @param client HTTP client
- * @param callers how callers are spoken to
- * @param wire how endpoints are spoken to
+ * @param callerProtocol decodes requests of callers and encodes refusals
+ * @param endpointProtocol encodes calls to endpoints and decodes their responses
  * @param config the configuration in force
  * @param endpoints the endpoints
- * @param pools pools of the stages
- * @param engines chooses among model engines
+ * @param stagePools endpoint pools that run stages
+ * @param engineSelector selects model engines
  * @param regions region of each failure domain
- * @param limits bounds requests to endpoints with reduced capacity
- * @param answers reads the limits that answers state
- * @param doubts takes an engine whose answer is overdue, and what to do when it turns out silent
- * @param services chooses among other endpoints
- * @param budgets retry budgets
- * @param quarantine holds back requests that crash endpoints
- * @param retryAfter spreads the hints when to come back
+ * @param sendLimits limits requests to endpoints with reduced capacity
+ * @param limitReader reads the limits that responses advertise
+ * @param engineStateQuery queries the state of an engine, and runs the action if it is unresponsive
+ * @param endpointChooser selects endpoints that are not engines
+ * @param retryBudgets retry budgets of the services
+ * @param quarantine refuses requests that crash endpoints
+ * @param retryAfter adds jitter to retry-after times
  * @param metrics counters and timers
- * @param log lines about requests
+ * @param log log of requests
  * @since 0.2
  */
 public record RelayContext(
--- a/relay/src/main/java/org/wingstall/relay/run/RelayHandler.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayHandler.java
@@ -13,14 +13,14 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * Takes callers' requests: finds route and workspace, and begins a run or refuses.
+ * Handles requests of callers: finds route and workspace, then starts a run or refuses.
  *
- * <p>{@code HttpServer.start(group, address, limits, new RelayHandler(parts, ready), rejections);}
+ * <p>{@code HttpServer.start(group, address, limits, new RelayHandler(context, ready), rejections);}
  *
  * @since 0.2
  */
 public final class RelayHandler implements HttpHandler {
-    /** When to come back to a box that knows no configuration yet, in ms; a start takes about this long. */
+    /** Retry-after time while no configuration is known yet, in ms; a start takes about this long. */
     private static final long STARTUP_RETRY_AFTER_MS = 500;
 
     private final RelayContext context;
@@ -30,7 +30,7 @@
     /**
      * Creates a handler.
      *
-     * @param parts what requests share
+     * @param context dependencies that all requests share
      * @param ready whether configuration and endpoints are known
      */
     public RelayHandler(RelayContext context, BooleanSupplier ready) {
@@ -38,7 +38,7 @@
         this.ready = ready;
     }
 
-    /** Returns the requests under way. */
+    /** Returns the number of requests in flight. */
     public int inFlight() {
         return inFlight.get();
     }
--- a/relay/src/main/java/org/wingstall/relay/run/RelayRun.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayRun.java
@@ -19,19 +19,18 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * Takes one request through its stages to an endpoint and ends it in exactly one answer. Confined to the request loop.
+ * Takes one request through its stages to an endpoint and ends it with one response. Confined to the request loop.
  *
- * <p>A refusal that says the request has not run is given only before the request itself was handed to an endpoint, or
- * after the endpoint stated that it did not run it.
+ * <p>States that a request has not run only before it is sent, or after its endpoint stated that it did not run it.
  */
 final class RelayRun implements RequestStages.Owner, EndpointAttempt.Owner {
-    /** Time before the caller's deadline at which its answer goes out, so that it still arrives, in ms. */
+    /** Time before the caller's deadline by which the response is sent, so that it still arrives, in ms. */
     private static final long DEADLINE_MARGIN_MS = 30;
 
-    /** When a caller is told to come back after a refusal whose cause passes quickly, in ms. */
-    private static final long RETRY_AFTER_MS = 300;
+    /** Minimum retry-after time, in ms; used for refusals whose cause passes quickly. */
+    private static final long MIN_RETRY_MS = 300;
 
-    /** Idle time after which a kept connection is not used for requests that may be repeated, in ms. */
+    /** Idle time after which a pooled connection is not reused for retryable requests, in ms. */
     private static final long MAX_REUSE_IDLE_MS = 3000;
 
     private final RelayContext context;
@@ -133,28 +132,28 @@
     }
 
     @Override
-    public void stagesFailed(Reason reason, String detail, long againMs) {
+    public void stagesFailed(Reason reason, String detail, long retryAfterMs) {
         if (reason == Reason.QUARANTINED) {
-            refuseUntil(reason, detail, againMs);
+            refuseUntil(reason, detail, retryAfterMs);
         } else {
-            refuse(reason, detail, againMs);
+            refuse(reason, detail, retryAfterMs);
         }
     }
 
-    /** Ends a request that crashes endpoints, before its stages, before it is sent, and before it is sent again. */
+    /** Refuses a quarantined request; checked before its stages and before each attempt. */
     private boolean refuseIfQuarantined() {
-        Optional<QuarantineRefusal> hold = quarantine.refusal();
-        hold.ifPresent(this::refuse);
-        return hold.isPresent();
+        Optional<QuarantineRefusal> refusal = quarantine.refusal();
+        refusal.ifPresent(this::refuse);
+        return refusal.isPresent();
     }
 
-    private void refuse(QuarantineRefusal hold) {
+    private void refuse(QuarantineRefusal refusal) {
         if (response.started()) {
-            abortResponse(Reason.ENDPOINT_LOST, hold.detail());
+            abortResponse(Reason.ENDPOINT_LOST, refusal.detail());
         } else if (mayHaveRun()) {
-            refuse(Reason.ENDPOINT_LOST, hold.detail());
+            refuse(Reason.ENDPOINT_LOST, refusal.detail());
         } else {
-            refuseUntil(hold.reason(), hold.detail(), hold.retryAfterMs());
+            refuseUntil(refusal.reason(), refusal.detail(), refusal.retryAfterMs());
         }
     }
 
@@ -162,49 +161,48 @@
         if (finished || refuseIfQuarantined()) {
             return;
         }
-        search.start(
-                quarantine.endpointsToAvoid(), stages.outputPlace(), untilTargetMs(), new EndpointSearch.Listener() {
-                    @Override
-                    public void found(EngineAssignment engine) {
-                        send(engine, inputs);
-                    }
-
-                    @Override
-                    public void found(RelayEndpoint endpoint) {
-                        send(endpoint, null, inputs);
-                    }
-
-                    @Override
-                    public void atCapacity(long againMs) {
-                        waitForCapacity(againMs, inputs);
-                    }
-
-                    @Override
-                    public void noEndpoint() {
-                        refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.NO_ENDPOINT, service.noEndpointDetail());
-                    }
-                });
-    }
-
-    /** Waits until an endpoint may take more while the answer can still be in time; else tells the caller when to come back. */
-    private void waitForCapacity(long againMs, List<String> inputs) {
+        search.start(quarantine.toAvoid(), stages.outputPlace(), untilTargetMs(), new EndpointSearch.Listener() {
+            @Override
+            public void found(EngineAssignment engine) {
+                send(engine, inputs);
+            }
+
+            @Override
+            public void found(RelayEndpoint endpoint) {
+                send(endpoint, null, inputs);
+            }
+
+            @Override
+            public void atCapacity(long againMs) {
+                waitForCapacity(againMs, inputs);
+            }
+
+            @Override
+            public void noEndpoint() {
+                refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.NO_ENDPOINT, service.noEndpointDetail());
+            }
+        });
+    }
+
+    /** Waits for capacity if the response can still meet its target; otherwise refuses with a retry-after time. */
+    private void waitForCapacity(long retryAfterMs, List<String> inputs) {
         if (finished) {
             return;
         }
         String detail = "endpoints of '" + service.name() + "' are cold or state a limit, and take no more for "
-                + againMs + " ms";
-        if (againMs < untilTargetMs() - service.expectedResponseMs()) {
+                + retryAfterMs + " ms";
+        if (retryAfterMs < untilTargetMs() - service.expectedResponseMs()) {
             record.attemptEnded("waits", detail);
-            context.loop().schedule(() -> callEndpoint(inputs), Math.max(1, againMs), TimeUnit.MILLISECONDS);
+            context.loop().schedule(() -> callEndpoint(inputs), Math.max(1, retryAfterMs), TimeUnit.MILLISECONDS);
         } else if (response.started()) {
             abortResponse(Reason.ENDPOINT_LOST, detail);
         } else {
-            refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.ENDPOINTS_BUSY, detail, againMs);
+            refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.ENDPOINTS_BUSY, detail, retryAfterMs);
         }
     }
 
     private void send(EngineAssignment chosen, List<String> inputs) {
-        // A loss may have become known while the engine was chosen.
+        // Endpoint losses may have been reported while the engine was selected.
         if (!finished && !refuseIfQuarantined()) {
             engineAssignment = chosen;
             record.engineChosen(chosen, stages.outputPlace());
@@ -222,7 +220,7 @@
         return !finished && attempt == sent && !response.started();
     }
 
-    /** A request that may be sent once waits on, since its engine may come back; another one is not left to wait there. */
+    /** Abandons a retryable attempt; a request that must not be sent twice keeps waiting, as its engine may recover. */
     private void onEngineUnresponsive(EndpointAttempt sent, EngineAssignment chosen) {
         chosen.unreachable();
         if (awaitsResponseOf(sent) && route.retryable() && attempts < route.maxAttempts()) {
@@ -235,10 +233,10 @@
         service.markTried(endpoint);
         attempts++;
         long reuseIdleMs = route.retryable() ? MAX_REUSE_IDLE_MS : 0;
-        EndpointCall wanted = new EndpointCall(
+        EndpointCall endpointCall = new EndpointCall(
                 endpoint.identity(), remainingMs(), workspace.name(), inputs, resumeAfter(), fetchFrom, reuseIdleMs);
         record.attempt(endpoint, context.endpoints().ageMs());
-        attempt = new EndpointAttempt(context, request, wanted, endpoint, inputs, quarantine, this);
+        attempt = new EndpointAttempt(context, request, endpointCall, endpoint, inputs, quarantine, this);
         attempt.start();
     }
 
@@ -297,7 +295,7 @@
         }
     }
 
-    /** Counts neither as sent nor as an attempt, as the endpoint that was meant is gone. */
+    /** Counts neither as sent nor as an attempt, because the intended endpoint no longer exists. */
     @Override
     public void wrongIncarnation(EndpointAttempt ended, String detail) {
         attempts--;
@@ -307,8 +305,8 @@
     @Override
     public void lost(EndpointAttempt ended, String detail) {
         record.attemptEnded("lost", detail);
-        boolean again = route.retryable() && response.resumable() && tryRetry("lost");
-        if (again) {
+        boolean retry = route.retryable() && response.resumable() && tryRetry("lost");
+        if (retry) {
             callEndpoint(ended.inputs());
         } else if (response.started()) {
             abortResponse(Reason.ENDPOINT_LOST, detail);
@@ -329,14 +327,14 @@
     }
 
     private boolean tryRetry(String why) {
-        boolean again = attempts < route.maxAttempts()
+        boolean retry = attempts < route.maxAttempts()
                 && remainingMs() > 0
                 && !service.candidates().isEmpty()
                 && context.retryBudgets().of(service.name()).tryRetry();
-        if (again) {
+        if (retry) {
             context.metrics().recordRetry(why);
         }
-        return again;
+        return retry;
     }
 
     private void onTimeout() {
@@ -360,24 +358,23 @@
     }
 
     private void refuse(Reason reason, String detail) {
-        refuse(reason, detail, RETRY_AFTER_MS);
+        refuse(reason, detail, MIN_RETRY_MS);
     }
 
-    private void refuse(Reason reason, String detail, long roomInMs) {
-        refuseUntil(
-                reason, detail, mayHaveRun() ? 0 : context.retryAfter().jitteredMs(Math.max(RETRY_AFTER_MS, roomInMs)));
+    private void refuse(Reason reason, String detail, long waitMs) {
+        refuseUntil(reason, detail, mayHaveRun() ? 0 : context.retryAfter().jitteredMs(Math.max(MIN_RETRY_MS, waitMs)));
     }
 
-    private void refuseUntil(Reason reason, String detail, long againMs) {
+    private void refuseUntil(Reason reason, String detail, long retryAfterMs) {
         if (finished) {
             return;
         }
         context.metrics().recordRefusal(reason);
         finish(reason.code(), reason.httpStatus(), detail);
-        context.callerProtocol().refuse(call, new RefusedException(reason, detail, againMs));
+        context.callerProtocol().refuse(call, new RefusedException(reason, detail, retryAfterMs));
     }
 
-    /** Ends an answer that can't be finished, so that it does not look whole. */
+    /** Closes the connection, so that the caller does not take an incomplete response for a complete one. */
     private void abortResponse(Reason reason, String detail) {
         if (!finished) {
             context.metrics().recordRefusal(reason);
--- a/relay/src/main/java/org/wingstall/relay/run/RequestLogEntry.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RequestLogEntry.java
@@ -11,7 +11,7 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * What the line about a request tells: what decided, and how old it was. Confined to the request loop.
+ * Collects the log fields of one request: what decided, and how old that information was. Confined to the request loop.
  *
  * <p>{@code record.attempt(endpoint, listAgeMs); record.attemptEnded("lost", detail);}
  *
@@ -88,7 +88,7 @@
         return workspace;
     }
 
-    /** Returns what tells whether another request is the same; hashed when first asked for. */
+    /** Returns the fingerprint of the request; computed on first use. */
     public Fingerprint fingerprint() {
         if (fingerprint == null) {
             fingerprint = Fingerprint.of(workspace, request.method(), request.target(), request.body());
@@ -96,12 +96,12 @@
         return fingerprint;
     }
 
-    /** Returns the version of the configuration that it went by. */
+    /** Returns the version of the configuration that was used. */
     public long configVersion() {
         return configVersion;
     }
 
-    /** Returns when it came, in ms of the monotonic clock. */
+    /** Returns when the request arrived, in ms of the monotonic clock. */
     public long arrivedMs() {
         return arrivedMs;
     }
@@ -111,12 +111,12 @@
         return stagesMs;
     }
 
-    /** Returns how far each stage came, and which box gathered its pieces. */
+    /** Returns the progress of each stage, and which box coordinated its pieces. */
     public List<String> stages() {
         return stages;
     }
 
-    /** Returns the time until the first byte of its answer, in ms; -1 when none came. */
+    /** Returns the time until the first byte of the response, in ms; -1 when none came. */
     public long firstByteMs() {
         return firstByteMs;
     }
--- a/relay/src/main/java/org/wingstall/relay/run/RequestStages.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RequestStages.java
@@ -11,15 +11,15 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * The stages of one request, done again once when results were lost with their maker. Confined to the request loop.
+ * Runs the stages of one request, and runs them again once if results were lost. Confined to the request loop.
  *
- * <p>{@code stages.begin(urgency, "kgn-a"); ... stages.close();}
+ * <p>{@code stages.start(urgency, "kgn-a"); ... stages.close();}
  */
 final class RequestStages implements StageGraph.StagesListener {
-    /** Times that the stages of a request are done: again once, when results were lost with their maker. */
+    /** Maximum runs of the stages: one, and another if results were lost with the endpoint that stored them. */
     private static final int MAX_RUNS = 2;
 
-    /** When a caller is told to come back after a refusal whose cause passes quickly, in ms. */
+    /** Retry-after time of refusals whose cause passes quickly, in ms. */
     private static final long RETRY_AFTER_MS = 300;
 
     private final RelayContext context;
@@ -35,14 +35,14 @@
 
     /** The request that the stages are for. */
     interface Owner {
-        /** All stages are done; takes the results that the request itself reads. */
+        /** All stages are done; receives the handles of the results that the request reads. */
         void stagesDone(List<String> outputs);
 
-        /** Results were lost, and the stages begin anew. */
+        /** Results were lost, and the stages run again from the start. */
         void stagesRestarted(String detail);
 
-        /** A stage has no result, so the request can't be sent. */
-        void stagesFailed(Reason reason, String detail, long againMs);
+        /** A stage failed, so the request is not sent. */
+        void stagesFailed(Reason reason, String detail, long retryAfterMs);
     }
 
     RequestStages(RelayContext context, RelayRequest request, Route route, long deadlineAtMs, Owner owner) {
@@ -53,7 +53,7 @@
         this.owner = owner;
     }
 
-    /** Begins the stages. */
+    /** Starts the stages. */
     void start(Urgency wanted, String readsIn) {
         urgency = wanted;
         readerDomain = readsIn;
@@ -66,17 +66,17 @@
         graph.begin();
     }
 
-    /** Returns where the results lie that the request reads. */
+    /** Returns the location of the results that the request reads. */
     InputLocation outputPlace() {
         return graph == null ? InputLocation.NONE : graph.outputLocation();
     }
 
-    /** Returns how far each stage came; nothing without stages. */
+    /** Returns the progress of each stage, for the log; empty without stages. */
     List<String> progress() {
         return graph == null ? List.of() : graph.progress();
     }
 
-    /** Gives up what is not done, and the results. */
+    /** Withdraws the work that is not done and frees the results. */
     void close() {
         closed = true;
         if (graph != null) {
@@ -112,14 +112,14 @@
         }
     }
 
-    /** Results die with their maker, so the stages that led to them are done again, once. */
+    /** Results are lost with the endpoint that stores them, so the stages are run again, once. */
     private boolean tryRerun(String stageService) {
-        boolean again = runs < MAX_RUNS
+        boolean rerun = runs < MAX_RUNS
                 && context.clock().nowMs() < deadlineAtMs
                 && context.retryBudgets().of(stageService).tryRetry();
-        if (again) {
+        if (rerun) {
             context.metrics().recordRetry("inputs-lost");
         }
-        return again;
+        return rerun;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/ResponseForwarder.java
+++ b/relay/src/main/java/org/wingstall/relay/run/ResponseForwarder.java
@@ -6,8 +6,8 @@
 import org.wingstall.net.http.HttpCall;
 
 /**
- * Passes the parts of an endpoint's answer to the caller. The events of a stream that may be taken up again are passed on
- * whole, so that another endpoint can go on after the last one. Confined to the request loop.
+ * Forwards the response of an endpoint to the caller. Resumable streams are forwarded in whole events, so that another
+ * endpoint can resume after the last one. Confined to the request loop.
  */
 final class ResponseForwarder {
     private final HttpCall call;
@@ -20,22 +20,22 @@
         this.wholeEvents = wholeEvents;
     }
 
-    /** Returns whether the caller has the head of an answer. */
+    /** Returns whether a response head was sent to the caller. */
     boolean started() {
         return started;
     }
 
-    /** Returns whether another endpoint can go on where the answer stands. */
+    /** Returns whether another endpoint can start or resume the response. */
     boolean resumable() {
         return !started || wholeEvents && eventBuffer.lastEventId() != null;
     }
 
-    /** Returns the last event that the caller has, or null. */
+    /** Returns the identifier of the last event that was sent to the caller, or null. */
     String lastEventId() {
         return eventBuffer.lastEventId();
     }
 
-    /** Begins an answer whose parts follow; one that another endpoint goes on with keeps its head. */
+    /** Starts a streamed response; one that is resumed keeps the head that was already sent. */
     void start(int status, HttpHeaders headers) {
         eventBuffer.discardPartialEvent();
         if (!started) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Passes a part on; returns whether the caller keeps up. */
+    /** Forwards a part of the body; returns false if the connection to the caller is not writable. */
     boolean forwardPart(ByteBuf content) {
         if (!wholeEvents) {
             return call.part(content.retainedSlice());
@@ -53,12 +53,12 @@
         return whole.length == 0 || call.part(Unpooled.wrappedBuffer(whole));
     }
 
-    /** Sets what to do when the caller keeps up again. */
+    /** Sets the action to run when the connection to the caller is writable again. */
     void onWritable(Runnable action) {
         call.onWritable(action);
     }
 
-    /** Ends an answer whose parts were passed on; returns whether its last event is whole. */
+    /** Ends a streamed response; returns false, and leaves it open, if its last event is incomplete. */
     boolean end() {
         if (wholeEvents && eventBuffer.hasPartialEvent()) {
             return false;
@@ -67,7 +67,7 @@
         return true;
     }
 
-    /** Passes a whole answer on. */
+    /** Forwards a complete response. */
     void forwardWhole(int status, HttpHeaders headers, byte[] body) {
         started = true;
         call.respond(status, headers, body);
--- a/relay/src/main/java/org/wingstall/relay/run/RunQuarantine.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RunQuarantine.java
@@ -9,7 +9,7 @@
 import org.wingstall.relay.log.EndpointLoss;
 import org.wingstall.relay.log.RequestLog;
 
-/** Tells the quarantine and the log of one request's sendings. Confined to the request loop. */
+/** Reports the attempts of one request to the quarantine and the log. Confined to the request loop. */
 final class RunQuarantine {
     private final RequestQuarantine request;
     private final RequestLog log;
@@ -25,7 +25,7 @@
         return request.refusal();
     }
 
-    Set<String> endpointsToAvoid() {
+    Set<String> toAvoid() {
         return request.endpointsToAvoid();
     }
 
@@ -33,7 +33,7 @@
         request.sent(endpoint.key());
     }
 
-    /** An endpoint that ends closes its connections; one that is silent may be cut off, and is no evidence. */
+    /** Only a reset counts as evidence of a crash: an endpoint that stops answering may just be unreachable. */
     void lost(EndpointLoss loss) {
         log.logEndpointLoss(record, loss);
         if (loss.failure().kind() == TransportException.Kind.RESET) {
--- a/relay/src/main/java/org/wingstall/relay/run/ServiceRetryBudgets.java
+++ b/relay/src/main/java/org/wingstall/relay/run/ServiceRetryBudgets.java
@@ -5,14 +5,14 @@
 import org.wingstall.core.retry.RetryBudget;
 
 /**
- * The retry budgets of the services: this box's part of what all boxes may use together.
+ * Holds a retry budget for each service: this box's share of the budget of the fleet.
  *
  * <p>{@code if (budgets.of("preorder-api").tryRetry()) { retry(); }}
  *
  * @since 0.2
  */
 public final class ServiceRetryBudgets {
-    /** FleetBudget of the fleet's budget that boxes use, since their shares of the traffic are uneven and windows slide. */
+    /** Fraction of the fleet's budget that boxes use, since traffic is spread unevenly over boxes and windows slide. */
     private static final double USED_FRACTION = 0.7;
 
     private static final double PERCENT = 100;
@@ -21,10 +21,10 @@
     private volatile FleetBudget fleetBudget;
 
     /**
-     * What a fleet may use, and the boxes that share it.
+     * The retry budget of a fleet, and the number of boxes that share it.
      *
      * @param ratio retries for each request to a service
-     * @param extra retries beyond that in a window
+     * @param extra additional retries in a window
      * @param boxes boxes of the fleet
      */
     public record FleetBudget(double ratio, double extra, int boxes) {
@@ -40,13 +40,13 @@
     /**
      * Creates budgets.
      *
-     * @param part this box's part of the fleet's budget
+     * @param fleetBudget the budget that the boxes share
      */
     public ServiceRetryBudgets(FleetBudget fleetBudget) {
         this.fleetBudget = fleetBudget;
     }
 
-    /** Begins new budgets with another part, unless it is the same. */
+    /** Replaces the budgets if the budget of the fleet differs from the current one. */
     public void update(FleetBudget next) {
         if (!next.equals(fleetBudget)) {
             fleetBudget = next;
--- a/relay/src/main/java/org/wingstall/relay/run/TargetService.java
+++ b/relay/src/main/java/org/wingstall/relay/run/TargetService.java
@@ -15,20 +15,20 @@
 import org.wingstall.relay.pool.Urgency;
 
 /**
- * The service that will answer one request: which of its endpoints may still be asked, and until when the stages before have
- * to be done for that. Confined to the request loop.
+ * The service that one request is sent to: the candidates among its endpoints, and the deadline of the stages before
+ * it. Confined to the request loop.
  */
 final class TargetService {
-    /** Time that the first part of an answer takes to its caller, in ms; callers are a few ms away. */
+    /** Time that the first bytes of a response take to the caller, in ms; callers are a few ms away. */
     private static final long CALLER_LATENCY_MS = 10;
 
     /**
-     * Targets that a request waits for its stages: beyond, it is refused rather than held until its deadline, and the room
-     * goes to requests that can be in time.
+     * Longest wait for the stages, as a multiple of the latency target. A request that waits longer is refused rather
+     * than held until its deadline, which leaves the capacity to requests that can still meet their targets.
      */
     private static final double MAX_STAGE_WAIT_FACTOR = 1.5;
 
-    /** Routes' ranks are below this; a workspace's rank comes before them. */
+    /** Upper limit of the ranks of routes; requests are ordered by the rank of the workspace first. */
     private static final int ROUTE_RANKS = 100;
 
     private final RelayContext context;
@@ -54,20 +54,20 @@
         return prompt;
     }
 
-    /** Records that an endpoint is asked now. */
+    /** Records an attempt at an endpoint, which is no candidate from then on. */
     void markTried(RelayEndpoint endpoint) {
         tried.add(endpoint.id());
     }
 
-    /** Returns the endpoints that may be asked; those that are avoided are better than none. */
+    /** Returns the candidates; endpoints that are not usable at present are returned only if there are no others. */
     List<RelayEndpoint> candidates() {
         return candidates(Set.of());
     }
 
     /**
-     * Returns the endpoints that may be asked.
+     * Returns the candidates.
      *
-     * @param shunned names of incarnations that are better left alone, as long as half of the others are there
+     * @param shunned incarnations to leave out, as long as at least half of the candidates remain
      */
     List<RelayEndpoint> candidates(Set<String> shunned) {
         List<RelayEndpoint> all = untried();
@@ -91,18 +91,18 @@
         return usable.isEmpty() ? avoided : usable;
     }
 
-    /** Returns why no endpoint may be asked, for the caller and the log. */
+    /** Returns the detail text for a request without candidates, for the caller and the log. */
     String noEndpointDetail() {
         Set<String> evacuated = context.endpoints().evacuated();
         return "no endpoint of '" + name + "' is left" + (evacuated.isEmpty() ? "" : ", evacuated: " + evacuated);
     }
 
-    /** Returns whether its endpoints are engines that read the request's prompt. */
+    /** Returns whether the endpoints are engines and the request has a prompt to prefill. */
     boolean enginesPrefillPrompt() {
         return hasEngines() && !prompt.tokens().isEmpty();
     }
 
-    /** Returns whether its endpoints are engines. */
+    /** Returns whether the endpoints are engines. */
     boolean hasEngines() {
         return engine().isPresent();
     }
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Returns where the request itself will likely run: results for it are best made near its engine. Engines that fetch
-     * what others keep are chosen near the results instead.
+     * Returns the failure domain where the request will likely run, so that stage results are produced near its engine;
+     * empty if not known. Engines that can fetch prompt parts from others are selected near the results instead.
      */
     String readerDomain() {
         boolean anywhere = engine().map(EngineSpec::canFetch).orElse(false);
@@ -122,7 +122,10 @@
                 : "";
     }
 
-    /** Returns until when its stages have to be done: they leave time for the answer, and end when it would be far too late. */
+    /**
+     * Returns the urgency of the stages: their target leaves time for the response, their deadline ends a wait that is
+     * far too long.
+     */
     Urgency urgency(Workspace workspace, long arrivedMs, long dueAtMs) {
         long stagesDueAtMs = Math.min(dueAtMs, arrivedMs + Math.round(MAX_STAGE_WAIT_FACTOR * route.targetMs()));
         return new Urgency(
@@ -131,14 +134,15 @@
                 stagesDueAtMs);
     }
 
-    /** Returns the time that its endpoints usually take until they begin to answer, in ms. */
+    /** Returns the expected time until an endpoint begins its response, in ms; 0 if it is not estimated. */
     long expectedResponseMs() {
         return enginesPrefillPrompt() ? context.engineSelector().firstAnswerMs(name, prompt) : 0;
     }
 
     /**
-     * Returns the time from the end of the stages to the caller's first sight of an answer. It differs with the prompt: with
-     * one time for all, stages that end as late as they may leave long prompts late.
+     * Returns the expected time from the end of the stages until the caller receives the first bytes, in ms. It depends
+     * on the prompt: with one time for all, requests with long prompts miss their targets when stages end as late as
+     * allowed.
      */
     private long afterStagesMs() {
         return CALLER_LATENCY_MS + expectedResponseMs();
--- a/relay/src/test/java/org/wingstall/relay/run/EventStreamBufferTest.java
+++ b/relay/src/test/java/org/wingstall/relay/run/EventStreamBufferTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Only whole events are passed on, however the bytes come. */
+/** Tests that only complete events are forwarded, wherever the stream is split. */
 public class EventStreamBufferTest {
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: brok";
 
--- a/relay/src/test/java/org/wingstall/relay/run/ServiceRetryBudgetsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/run/ServiceRetryBudgetsTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 import org.wingstall.core.retry.RetryBudget;
 
-/** All boxes together stay within the fleet's retry budget without a word between them. */
+/** Tests that all boxes together stay within the fleet's retry budget without communication. */
 public class ServiceRetryBudgetsTest {
     private static final double RATIO = 0.2;
     private static final int EXTRA = 58;
