--- a/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
@@ -1,17 +1,17 @@
 package org.wingstall.relay.config;
 
 /**
- * What one endpoint of a stage's service can do.
+ * Capacity and call times of one endpoint of a service that runs stages.
  *
- * <p>{@code long fullCallMs = pool.callMs(pool.batch());}
+ * <p>{@code long fullCallMs = pool.callMs(pool.maxBatchSize());}
  *
- * @param slots calls at work at once
- * @param queue calls that may wait at the endpoint
- * @param batch most pieces in a call
+ * @param slots calls that run at once
+ * @param queueCapacity calls that may wait at the endpoint
+ * @param maxBatchSize most pieces in a call
  * @param baseMs time of a call without its pieces, in ms
  * @param pieceMs time of one piece, in ms; varies by stage
- * @param roomBytes room for results that no one has given up yet
- * @param resultLifeMs time after which a result is dropped, in ms
+ * @param roomBytes capacity for results that are not freed yet
+ * @param resultTtlMs time after which a result expires, in ms
  * @since 0.2
  */
 public record PoolSpec(
@@ -22,7 +22,7 @@
         double pieceMs,
         double resultCapacityBytes,
         long resultTtlMs) {
-    /** Returns the time of a call with so many pieces, in ms. */
+    /** Returns the time of a call with the given number of pieces, in ms. */
     public double callMs(int pieces) {
         return baseMs + pieces * pieceMs;
     }
--- a/relay/src/main/java/org/wingstall/relay/config/RegionRestriction.java
+++ b/relay/src/main/java/org/wingstall/relay/config/RegionRestriction.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * The regions that a route's or a workspace's requests are bound to.
+ * The regions in which requests of a route or workspace may run.
  *
- * <p>{@code route.homes().and(workspace.homes()).allows("jm-south")}
+ * <p>{@code route.regionRestriction().intersect(workspace.regionRestriction()).allows("jm-south")}
  *
- * @param bound whether requests are bound at all
- * @param regions the regions that they are bound to; none when nothing is common to route and workspace
+ * @param restricted whether requests are restricted at all
+ * @param regions the allowed regions; empty when route and workspace have none in common
  * @since 0.8
  */
 public record RegionRestriction(boolean restricted, Set<String> regions) {
@@ -21,12 +21,12 @@
         regions = Set.copyOf(regions);
     }
 
-    /** Returns the homes that a list of regions names; an empty list binds to none. */
+    /** Returns the restriction to a set of regions; an empty set does not restrict. */
     public static RegionRestriction of(Set<String> regions) {
         return regions.isEmpty() ? UNRESTRICTED : new RegionRestriction(true, regions);
     }
 
-    /** Returns what holds where both bind. */
+    /** Returns the restriction to what both allow. */
     public RegionRestriction intersect(RegionRestriction other) {
         if (!restricted || !other.restricted) {
             return restricted ? this : other;
@@ -36,12 +36,12 @@
         return new RegionRestriction(true, common);
     }
 
-    /** Returns whether requests may run in a region; where a region is not known they may only when they are not bound. */
+    /** Returns whether requests may run in a region; a region that is not known is allowed only without restriction. */
     public boolean allows(String region) {
         return !restricted || regions.contains(region);
     }
 
-    /** Returns whether there is no region where requests may run. */
+    /** Returns whether requests may run in no region. */
     public boolean allowsNone() {
         return restricted && regions.isEmpty();
     }
--- a/relay/src/main/java/org/wingstall/relay/config/Regions.java
+++ b/relay/src/main/java/org/wingstall/relay/config/Regions.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The region of each failure domain, as the settings tell.
+ * The region of each failure domain, from the settings.
  *
  * <p>{@code Regions.parse("kgn-a=jm-south,kgn-b=jm-south").of("kgn-a")}
  *
@@ -17,7 +17,7 @@
         byDomain = Map.copyOf(byDomain);
     }
 
-    /** Reads pairs of failure domain and region joined by commas; the settings' schema says what is valid. */
+    /** Reads pairs of failure domain and region joined by commas; validity is checked by the schema of the settings. */
     public static Regions parse(String pairs) {
         Map<String, String> regions = new HashMap<>();
         for (String pair : pairs.split(",")) {
--- a/relay/src/main/java/org/wingstall/relay/config/RelayConfig.java
+++ b/relay/src/main/java/org/wingstall/relay/config/RelayConfig.java
@@ -11,12 +11,12 @@
 /**
  * One version of the configuration, immutable.
  *
- * <p>{@code config.routeOf("canteen.example", "/orders/1")}
+ * <p>{@code config.findRoute("canteen.example", "/orders/1")}
  *
  * @since 0.2
  */
 public final class RelayConfig {
-    /** What holds before a configuration is known. */
+    /** The value before a configuration is known. */
     public static final RelayConfig NONE =
             new RelayConfig(0, List.of(), List.of(), Map.of(), false, ClientLimits.DEFAULTS);
 
@@ -33,9 +33,9 @@
      * @param version its number; later versions have greater ones
      * @param routes its routes
      * @param services its services
-     * @param workspacesByKey holders of keys
-     * @param keyed whether routes that are not open need a key
-     * @param limits bounds on clients
+     * @param workspacesByKey workspaces by API key
+     * @param keysRequired whether routes need a key unless it is optional for them
+     * @param limits limits for clients
      */
     public RelayConfig(
             long version,
@@ -70,7 +70,7 @@
         return version > 0;
     }
 
-    /** Returns the route with the longest prefix that begins the path. */
+    /** Returns the route of a host with the longest prefix of the path. */
     public Optional<Route> findRoute(String host, String path) {
         String name = withoutPort(host).toLowerCase(Locale.ROOT);
         for (Route route : routesByHost.getOrDefault(name, List.of())) {
@@ -91,17 +91,17 @@
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the holder of a key; empty when no one holds it. */
+    /** Returns the workspace of an API key; empty for an unknown key or none. */
     public Optional<Workspace> workspaceForKey(String key) {
         return key == null ? Optional.empty() : Optional.ofNullable(workspacesByKey.get(key));
     }
 
-    /** Returns whether routes that are not open need a key. */
+    /** Returns whether routes need a key unless it is optional for them. */
     public boolean keysRequired() {
         return keysRequired;
     }
 
-    /** Returns the bounds on clients. */
+    /** Returns the limits for clients. */
     public ClientLimits limits() {
         return limits;
     }
--- a/relay/src/main/java/org/wingstall/relay/config/Route.java
+++ b/relay/src/main/java/org/wingstall/relay/config/Route.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path go, and what holds for them.
+ * Rules for the requests of one host and path prefix: where they are sent and how.
  *
- * <p>{@code Route route = config.routeOf("canteen.example", "/orders/1").orElseThrow();}
+ * <p>{@code Route route = config.findRoute("canteen.example", "/orders/1").orElseThrow();}
  *
  * @param name name in the configuration
  * @param host host that the request names
  * @param pathPrefix start of the path, with a slash at both ends
- * @param kind what kind of answer the endpoint gives
- * @param resumable whether a stream may be taken up at another endpoint
- * @param open whether no key is needed
- * @param maxAttempts most endpoints that one request is sent to
+ * @param kind kind of request
+ * @param resumable whether a stream may be resumed at another endpoint
+ * @param keyOptional whether requests need no API key
+ * @param maxAttempts maximum attempts at sending one request
  * @param timeoutMs longest time that a request may take, in ms
- * @param targetMs time within which an answer, or the first event of a stream, is wanted, in ms
+ * @param targetMs latency target of the response, or of the first event of a stream, in ms
  * @param rank order among routes; 0 goes first
- * @param split services that take the requests, by weight
+ * @param serviceShares services that the requests are split over, by weight
  * @param stages work that is done before the request itself can run
- * @param homes regions that its requests are bound to
+ * @param regionRestriction regions in which its requests may run
  * @since 0.2
  */
 public record Route(
@@ -42,29 +42,29 @@
         IDEMPOTENT,
         /** Runs at most once. */
         NON_IDEMPOTENT,
-        /** Is answered by a series of events. */
+        /** Has an event stream as its response. */
         STREAM
     }
 
     /**
-     * A service's part of a route's requests.
+     * The share of a route's requests that a service gets.
      *
      * @param service the service
-     * @param weight its part, relative to the others
+     * @param weight its share, relative to the others
      */
     public record ServiceShare(String service, double weight) {}
 
-    /** Returns whether a request may run more than once, from its start or from the last event that came. */
+    /** Returns whether a request may be sent again, from its start or from the last event that was received. */
     public boolean retryable() {
         return kind == Kind.IDEMPOTENT || resumable && streamed();
     }
 
-    /** Returns whether the answer is a series of events. */
+    /** Returns whether the response is an event stream. */
     public boolean streamed() {
         return kind == Kind.STREAM;
     }
 
-    /** Chooses the service of a request by a number in [0, 1). */
+    /** Selects the service of a request by a random number in [0, 1). */
     public String selectService(double random) {
         double sum = serviceShares.stream().mapToDouble(ServiceShare::weight).sum();
         double left = random * sum;
--- a/relay/src/main/java/org/wingstall/relay/config/ServiceSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/ServiceSpec.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * A service of the configuration.
+ * Capacity of one service, as configured.
  *
- * <p>{@code config.service("pay-ledger").pool().map(PoolSpec::batch)}
+ * <p>{@code config.service("pay-ledger").pool().map(PoolSpec::maxBatchSize)}
  *
  * @param name its name
  * @param maxConnections connections that one endpoint takes from all boxes together
- * @param slots requests that one endpoint runs at once; 0 when only the endpoints say
- * @param pool what its endpoints can do, when it does the work of stages
- * @param engine what its endpoints can do, when they are model engines
- * @param cold capacity of its endpoints while they are cold, when that is less than usual
+ * @param slots requests that one endpoint runs at once; 0 when the endpoints report it
+ * @param pool capacity of its endpoints, if it runs stages
+ * @param engine capacity of its endpoints, if they are model engines
+ * @param coldStart capacity of its endpoints after their start, if it is reduced
  * @since 0.2
  */
 public record ServiceSpec(
--- a/relay/src/main/java/org/wingstall/relay/config/StageSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/StageSpec.java
@@ -9,7 +9,7 @@
  *
  * @param index number of the stage on its route, from 0
  * @param service service whose endpoints do the work
- * @param after stages whose results it reads
+ * @param dependencies indexes of the stages whose results it reads
  * @param resultBytes approximate size of one result
  * @since 0.2
  */
--- a/relay/src/main/java/org/wingstall/relay/config/Workspace.java
+++ b/relay/src/main/java/org/wingstall/relay/config/Workspace.java
@@ -1,16 +1,16 @@
 package org.wingstall.relay.config;
 
 /**
- * The holder of a key.
+ * A workspace: the holder of API keys.
  *
- * <p>{@code new Workspace("canteen", 1, RegionRestriction.ANYWHERE)}
+ * <p>{@code new Workspace("canteen", 1, RegionRestriction.UNRESTRICTED)}
  *
  * @param name its name
  * @param rank order among workspaces, before that of routes; 0 goes first
- * @param homes regions that its requests are bound to
+ * @param regionRestriction regions in which its requests may run
  * @since 0.2
  */
 public record Workspace(String name, int rank, RegionRestriction regionRestriction) {
-    /** Whoever calls an open route without a key. */
+    /** Stands for callers without a key, on routes where it is optional. */
     public static final Workspace NONE = new Workspace("", 0, RegionRestriction.UNRESTRICTED);
 }
