--- a/relay/src/main/java/org/wingstall/relay/log/EndpointLoss.java
+++ b/relay/src/main/java/org/wingstall/relay/log/EndpointLoss.java
@@ -4,13 +4,13 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
 /**
- * A sending of a request that the endpoint may have run and that got no whole answer.
+ * An attempt at a request that the endpoint may have run and that got no complete response.
  *
  * <p>{@code log.endpointLost(record, new EndpointLoss(endpoint, 130, 100, failure));}
  *
- * @param endpoint where it was sent
+ * @param endpoint the endpoint of the attempt
  * @param sentMsAgo time since it was sent, in ms
- * @param headMsAgo time since the head of its answer came, in ms; -1 when none came
+ * @param headMsAgo time since the head of the response came, in ms; -1 when none came
  * @param failure how the connection ended
  * @since 0.7
  */
--- a/relay/src/main/java/org/wingstall/relay/log/RelayMetrics.java
+++ b/relay/src/main/java/org/wingstall/relay/log/RelayMetrics.java
@@ -13,9 +13,9 @@
 import org.wingstall.core.answer.Reason;
 
 /**
- * Counters and timers of a box that passes requests through.
+ * Counters and timers of a box that relays requests.
  *
- * <p>{@code metrics.refused(Reason.NO_ENDPOINT); String text = metrics.scrape();}
+ * <p>{@code metrics.recordRefusal(Reason.NO_ENDPOINT); String text = metrics.scrape();}
  *
  * @since 0.2
  */
@@ -35,7 +35,7 @@
             .publishPercentileHistogram()
             .register(registry);
 
-    /** Creates all counters of reasons at zero, so that every reason shows from the start. */
+    /** Registers the counters of all reasons, so that each is exported from the start. */
     public RelayMetrics() {
         for (Reason reason : Reason.values()) {
             String outcome = reason.outcome().value();
@@ -43,23 +43,23 @@
         }
     }
 
-    /** Returns the text that Prometheus reads. */
+    /** Returns all metrics in the text format of Prometheus. */
     public String scrape() {
         return registry.scrape();
     }
 
-    /** Shows a number that is read when asked for. */
+    /** Registers a gauge whose value is read at each scrape. */
     public void gauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
-    /** Counts an endpoint's answer that went to its caller. */
+    /** Records a response of an endpoint that was forwarded to the caller. */
     public void recordCompleted(int status, long tookMs) {
         Timer timer = status / 100 == 2 ? successTime : failureTime;
         timer.record(tookMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Counts a request that got no endpoint's answer. */
+    /** Counts a request that got no response of an endpoint. */
     public void recordRefusal(Reason reason) {
         outcomes.get(reason).increment();
     }
@@ -70,39 +70,41 @@
                 .increment();
     }
 
-    /** Counts a request that an endpoint may have run and that got no whole answer, by how its connection ended. */
+    /**
+     * Counts a request that an endpoint may have run and that got no complete response, by how its connection ended.
+     */
     public void recordEndpointLoss(String kind) {
         losses.computeIfAbsent(kind, name -> registry.counter("wingstall.endpoint.losses", "kind", name))
                 .increment();
     }
 
-    /** Counts a choice of an engine, by who made it and why. */
+    /** Counts an engine selection, by who made it and why. */
     public void recordEngineChoice(String by) {
         engineChoices
                 .computeIfAbsent(by, name -> registry.counter("wingstall.engine.choices", "by", name))
                 .increment();
     }
 
-    /** Counts a question for an endpoint's state, by its purpose. */
+    /** Counts a query of the state of an endpoint, by its purpose. */
     public void recordStateQuery(String purpose) {
         stateQueries
                 .computeIfAbsent(purpose, name -> registry.counter("wingstall.endpoint.questions", "purpose", name))
                 .increment();
     }
 
-    /** Counts an endpoint that was left out of a choice because it had its share, by the cause of the bound. */
+    /** Counts an endpoint that a selection left out because its share is used up, by the cause of the limit. */
     public void recordLimitedEndpoint(String cause) {
         limitedEndpoints
                 .computeIfAbsent(cause, name -> registry.counter("wingstall.endpoint.held.back", "cause", name))
                 .increment();
     }
 
-    /** Counts an answer that was no answer to the request it came for. */
+    /** Counts a response that was dropped because it is unsigned or belongs to another request. */
     public void recordDroppedResponse() {
         droppedResponses.increment();
     }
 
-    /** Counts a log line that was left out. */
+    /** Counts a log line that the rate limit dropped. */
     public void recordDroppedLogLine() {
         droppedLogLines.increment();
     }
--- a/relay/src/main/java/org/wingstall/relay/log/RequestLog.java
+++ b/relay/src/main/java/org/wingstall/relay/log/RequestLog.java
@@ -9,16 +9,16 @@
 import org.wingstall.relay.run.RequestLogEntry;
 
 /**
- * Writes one line about each request, with what decided; bounded, so that a burst costs lines and no processor time.
+ * Writes one log line for each request; limited in rate, so that a burst costs log lines rather than processor time.
  *
- * <p>{@code log.ended(record, "complete", 200, null, nowMs);}
+ * <p>{@code log.logRequest(record, "complete", 200, null, nowMs);}
  *
  * @since 0.2
  */
 public final class RequestLog {
     private static final Logger LOG = LogManager.getLogger(RequestLog.class);
 
-    /** Lines a second; several times a box's requests in a burst, and about a hundredth of a core. */
+    /** Maximum lines a second; several times a box's requests in a burst, and about a hundredth of a core. */
     private static final double LINES_PER_SECOND = 100;
 
     private final TokenBucket bucket;
@@ -28,14 +28,14 @@
      * Creates a log.
      *
      * @param clock monotonic clock
-     * @param metrics counts lines that are left out
+     * @param metrics counts dropped lines
      */
     public RequestLog(MonotonicClock clock, RelayMetrics metrics) {
         this.bucket = new TokenBucket(clock);
         this.metrics = metrics;
     }
 
-    /** Writes the line of a request that had a route. */
+    /** Logs the end of a request that had a route. */
     public void logRequest(RequestLogEntry record, String outcome, int status, String detail, long nowMs) {
         if (!tryAcquireLine()) {
             return;
@@ -57,7 +57,7 @@
                 .to(LOG);
     }
 
-    /** Writes the line of a sending whose connection ended before the answer was whole. */
+    /** Logs an attempt whose connection ended before the response was complete. */
     public void logEndpointLoss(RequestLogEntry record, EndpointLoss loss) {
         metrics.recordEndpointLoss(loss.failure().kind().code());
         if (!tryAcquireLine()) {
@@ -76,7 +76,7 @@
                 .to(LOG);
     }
 
-    /** Writes the line of a request that was refused before it had a route. */
+    /** Logs a request that was refused before its run started. */
     public void logRejected(String requestId, String target, RefusedException refusal, long configVersion) {
         if (!tryAcquireLine()) {
             return;
