--- a/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
@@ -11,8 +11,8 @@
 import org.wingstall.relay.wire.BoxDirectory;
 
 /**
- * Announces this box and follows the others: often after the start, seldom later, since links tell more than the directory.
- * Runs on the control loop.
+ * Registers this box in the directory and polls it for others: often after the start, seldom later, since peer links
+ * are quicker than the directory. Runs on the control loop.
  *
  * <p>{@code new BoxFollower(loop, directory, self, mesh::applyList).start();}
  *
@@ -21,12 +21,12 @@
 public final class BoxFollower {
     private static final Logger LOG = LogManager.getLogger(BoxFollower.class);
 
-    /** Pause between the first reads, in ms: boxes of a fleet start within some hundred ms of each other. */
+    /** Interval between the first reads, in ms: boxes of a fleet start within some hundred ms of each other. */
     private static final long INITIAL_INTERVAL_MS = 1000;
 
     private static final int INITIAL_READS = 3;
 
-    /** Pause between later reads, in ms; a new box dials the others itself. */
+    /** Interval between later reads, in ms; long, because a new box connects to the others itself. */
     private static final long INTERVAL_MS = 20_000;
 
     private final EventLoop loop;
@@ -42,7 +42,7 @@
      * @param loop the control loop
      * @param directory the directory
      * @param self this box
-     * @param listener told of each list
+     * @param listener receives each list
      */
     public BoxFollower(
             EventLoop loop, BoxDirectory directory, BoxDirectory.Box self, Consumer<List<BoxDirectory.Box>> listener) {
@@ -52,12 +52,15 @@
         this.listener = listener;
     }
 
-    /** Begins to follow. */
+    /** Starts polling. */
     public void start() {
         loop.execute(this::poll);
     }
 
-    /** Returns whether boxes that started together with this one have been read; on any thread. */
+    /**
+     * Returns whether the reads after the start are done, which find boxes that started at the same time; on any
+     * thread.
+     */
     public boolean initialReadsDone() {
         return successfulReads >= INITIAL_READS;
     }
--- a/relay/src/main/java/org/wingstall/relay/control/CrashReportFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/CrashReportFollower.java
@@ -12,17 +12,20 @@
 import org.wingstall.schema.peer.CrashReport;
 
 /**
- * Keeps reports of requests that crash endpoints, and follows those that other boxes keep. Runs on the control loop.
+ * Saves reports of requests that crash endpoints, and reads those of other boxes. Runs on the control loop.
  *
- * <p>{@code follower.start(); follower.keep(report);}
+ * <p>{@code follower.start(); follower.save(report);}
  *
  * @since 0.7
  */
 public final class CrashReportFollower {
-    /** Reports that wait to be kept while the store gives no answers; the links carry them meanwhile. */
+    /** Maximum reports that wait to be saved while the store fails; peer links still deliver them. */
     private static final int MAX_PENDING = 200;
 
-    /** Pause between looks whether this box is still told of reports, in ms; a quarter of the time after which it must know. */
+    /**
+     * Interval between checks whether hubs still send reports, in ms; a quarter of the time within which a box must
+     * know one.
+     */
     private static final long HUB_CHECK_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
@@ -40,9 +43,9 @@
      * Creates a follower.
      *
      * @param loop the control loop
-     * @param store where the reports are kept
-     * @param listener takes what is read
-     * @param told whether hubs tell this box of all reports over their links
+     * @param store store of the reports
+     * @param listener receives the reports that are read
+     * @param receivesFromHubs whether hubs send this box all reports over peer links
      */
     public CrashReportFollower(
             EventLoop loop, CrashReportStore store, Consumer<CrashReport> listener, BooleanSupplier receivesFromHubs) {
@@ -52,12 +55,12 @@
         this.listener = listener;
     }
 
-    /** Begins to follow. */
+    /** Starts polling. */
     public void start() {
         loop.execute(this::poll);
     }
 
-    /** A call that waits at the store has its price, so a box that learns of reports anyway makes none. */
+    /** Calls that wait at the store are costly, so a box that gets reports from hubs makes none. */
     private void poll() {
         if (initialReadDone && receivesFromHubs.getAsBoolean()) {
             fullReadDue = true;
@@ -87,7 +90,7 @@
         }
     }
 
-    /** Keeps a report, at once or when the store answers again. For use on any thread. */
+    /** Saves a report, now or when the store is available again. For use on any thread. */
     public void save(CrashReport report) {
         loop.execute(() -> {
             boolean room = pending.size() < MAX_PENDING || pending.containsKey(report.getFingerprint());
--- a/relay/src/main/java/org/wingstall/relay/control/EvacuationState.java
+++ b/relay/src/main/java/org/wingstall/relay/control/EvacuationState.java
@@ -10,10 +10,11 @@
 import org.wingstall.relay.config.Evacuations;
 
 /**
- * The evacuations in force; read on any thread, and never replaced by what was known of an earlier version of the store.
+ * Holds the evacuations in force, and replaces them only by those of a later store version. Read on any thread.
  *
- * <p>A box learns of them from the store, and from heartbeats where the store does not answer it, so whichever knows a later
- * version counts. {@code evacuations.offer(read, "store");}
+ * <p>A box gets them from the store, and from heartbeats of peers while the store does not answer it; the later version
+ * wins.
+ * {@code evacuations.updateIfNewer(read, "store");}
  *
  * @since 0.8
  */
@@ -26,7 +27,7 @@
     /**
      * Creates a state without evacuations.
      *
-     * @param listener takes the evacuated failure domains whenever they differ
+     * @param listener receives the evacuated failure domains when they change
      */
     public EvacuationState(Consumer<Set<String>> listener) {
         this.listener = listener;
@@ -38,7 +39,7 @@
     }
 
     /**
-     * Takes evacuations into force if they are known as of a later version.
+     * Puts evacuations in force if they are of a later store version.
      *
      * @param offered the evacuations
      * @param from where they came from, for the log
--- a/relay/src/main/java/org/wingstall/relay/control/HedgedRead.java
+++ b/relay/src/main/java/org/wingstall/relay/control/HedgedRead.java
@@ -7,16 +7,16 @@
 import java.util.function.Supplier;
 
 /**
- * The first read of a box that starts. The load that it answers is the start of all boxes at once: each is slower than the
- * source that it asks, so a call that is given up and made again is made in vain.
+ * Hedges the first read of a box after its start. All boxes may start at once, and each is then slower than the source,
+ * so that abandoning a slow call and repeating it would gain nothing.
  *
- * <p>The call is left its time; when its answer is late another one goes out beside it, since an answer may also be lost. The
- * first answer counts. Confined to one loop.
+ * <p>The call has no timeout; if its response is late, a second call is sent as well, since a response may also be
+ * lost. The first response wins. Confined to one event loop.
  *
- * <p>{@code HedgedRead.of(loop, source::read).whenComplete(...)}
+ * <p>{@code HedgedRead.start(loop, source::read).whenComplete(...)}
  */
 final class HedgedRead<T> {
-    /** Time after which the source is asked once more, in ms; a box that runs has its answer after some 10. */
+    /** Delay before the second call, in ms; a box that is not starting has its response after some 10 ms. */
     static final long HEDGE_DELAY_MS = 700;
 
     private final EventExecutor loop;
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Asks a source, and once more when its answer is late.
+     * Calls a source, and once more if its response is late.
      *
-     * @param loop the loop of the caller
-     * @param ask makes the call
-     * @return the first answer, or the failure when no call is left
+     * @param loop the event loop of the caller
+     * @param read makes the call
+     * @return the first response, or the failure once all calls have failed
      */
     static <T> CompletableFuture<T> start(EventExecutor loop, Supplier<CompletableFuture<T>> read) {
         HedgedRead<T> answer = new HedgedRead<>(loop, read);
--- a/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
@@ -15,11 +15,12 @@
 import org.wingstall.schema.peer.MemberNews;
 
 /**
- * Follows the list of endpoints: reads it at every turn where that is this box's duty, and otherwise takes in the changes
- * that readers tell. Runs on the control loop.
+ * Keeps the endpoint list up to date: reads it at every poll if the read policy says so, and otherwise applies the
+ * changes that other boxes announce. Runs on the control loop.
  *
- * <p>A change is applied only to the list that it was made for. Heartbeats carry the tag of the list that their sender has
- * read lately and the version at which it saw that list first, so a box that missed a change reads for itself.
+ * <p>A change is applied only to the list that it was computed from. Heartbeats carry the tag of the list that their
+ * sender has read recently and the version at which it first saw that list, so that a box that missed a change reads
+ * the list.
  * {@code follower.start();}
  *
  * @since 0.3
@@ -27,13 +28,13 @@
 public final class ListFollower {
     private static final Logger LOG = LogManager.getLogger(ListFollower.class);
 
-    /** Turns within which a reader has to have read the list to vouch for it; one read may fail. */
+    /** Poll intervals for which a list that was read counts as fresh, so that single reads may fail. */
     private static final int FRESH_INTERVALS = 3;
 
-    /** Longest time without a read of its own, in ms, whatever peers say. */
+    /** Maximum time between reads of this box, in ms, even if peers announce no change. */
     private static final long MAX_READ_AGE_MS = 30_000;
 
-    /** Time after an outage for which every box reads, in ms: entries that lapsed have about 2 s to come back. */
+    /** Time after an outage in which every box reads, in ms; expired entries take about 2 s to be registered again. */
     private static final long RECOVERY_MS = 4000;
 
     private final EventLoop loop;
@@ -51,19 +52,19 @@
     private volatile long readAtMs = Long.MIN_VALUE / 2;
 
     /**
-     * A list and where it comes from in time.
+     * A list and its version.
      *
      * @param list the list
-     * @param version version of the source at which this box saw the list first
+     * @param version version of the source at which this box first saw the list
      */
     private record VersionedList(MemberSnapshot list, long version) {}
 
-    /** Told of changes of the list. */
+    /** Receives changes of the list. */
     public interface ChangeListener {
-        /** The list differs from the one before. */
+        /** The list has changed. */
         void changed();
 
-        /** This box has read a change that peers may not know. */
+        /** This box has read a change that is to be announced to peers. */
         void announce(MemberNews news);
     }
 
@@ -71,12 +72,12 @@
      * Creates a follower.
      *
      * @param loop the control loop
-     * @param source where the list comes from
-     * @param table takes the list
-     * @param duty whether this box reads at every turn
+     * @param source source of the list
+     * @param endpoints receives the list
+     * @param readPolicy whether this box reads at every poll
      * @param clock monotonic clock
-     * @param intervalMs time between two turns, in ms
-     * @param listener told of changes
+     * @param intervalMs poll interval, in ms
+     * @param listener receives changes
      */
     public ListFollower(
             EventLoop loop,
@@ -95,32 +96,32 @@
         this.listener = listener;
     }
 
-    /** Begins to follow. */
+    /** Starts polling. */
     public void start() {
         loop.execute(this::poll);
     }
 
-    /** Returns whether the source gave no answer to the last read; read on any thread. */
+    /** Returns whether the last read failed; on any thread. */
     public boolean sourceUnavailable() {
         return !health.available();
     }
 
-    /** Returns the short tag of the list if this box has read it lately, else 0; read on any thread. */
+    /** Returns the short tag of the list if this box has read it recently, else 0; on any thread. */
     public int freshTag() {
         boolean fresh = clock.nowMs() - readAtMs < FRESH_INTERVALS * intervalMs;
         return fresh && health.available() ? current.list().shortTag() : 0;
     }
 
-    /** Returns the version of the source at which this box saw its list first; read on any thread. */
+    /** Returns the version of the source at which this box first saw its list; on any thread. */
     public long listVersion() {
         return current.version();
     }
 
     /**
-     * Records the list that a peer has read lately. For use on any thread.
+     * Confirms the list, or reads it if a peer has recently read a newer one. For use on any thread.
      *
-     * @param tag short tag of its list; 0 when the peer has not read it lately
-     * @param version the version at which the peer saw that list first
+     * @param tag short tag of its list; 0 when the peer has not read it recently
+     * @param version the version at which the peer first saw that list
      */
     public void onPeerList(int tag, long version) {
         if (tag == 0) {
@@ -133,14 +134,16 @@
         }
     }
 
-    /** A source that gives no answers is asked at its own pace, not with every heartbeat. */
+    /** A source that does not answer is retried by the poll only, not at every heartbeat. */
     private void readIfNewer(long version) {
         if (version > asOfVersion && health.available()) {
             startReadIfIdle();
         }
     }
 
-    /** Takes in a change that a peer read; one that was made for another list is read instead. For use on any thread. */
+    /**
+     * Applies a change that a peer read; reads the list if the change is based on another one. For use on any thread.
+     */
     public void onPeerChange(MemberNews news) {
         loop.execute(() -> applyPeerChange(news));
     }
@@ -167,7 +170,9 @@
         listener.changed();
     }
 
-    /** While entries that lapsed may come back, each box goes by what it reads itself. */
+    /**
+     * During and shortly after an outage each box relies on its own reads, as expired entries may be registered again.
+     */
     private boolean recovering() {
         return !health.available() || clock.nowMs() < recoveredAtMs;
     }
--- a/relay/src/main/java/org/wingstall/relay/control/OneReaderPerDomainPolicy.java
+++ b/relay/src/main/java/org/wingstall/relay/control/OneReaderPerDomainPolicy.java
@@ -7,10 +7,10 @@
 import org.wingstall.core.peer.RendezvousHash;
 
 /**
- * Lets one box of each failure domain read, chosen by rendezvous hashing among those that do work for others; every box that
- * hears no reader at all reads for itself.
+ * Lets one hub of each failure domain read, selected by rendezvous hashing; a box reads for itself if no reachable peer
+ * has read recently.
  *
- * <p>{@code new OneReaderPerDomainPolicy("kgn-a-1", peers, mesh::carries).mine()}
+ * <p>{@code new OneReaderPerDomainPolicy("kgn-a-1", peers, mesh::isHub).shouldRead()}
  *
  * @since 0.3
  */
@@ -20,21 +20,21 @@
     private final Predicate<String> isHub;
 
     /**
-     * A peer that is heard and not stopping.
+     * A reachable peer that is not stopping.
      *
      * @param boxId its box
-     * @param ownDomain whether it stands in this box's failure domain
-     * @param reads whether it says that it has read the list lately
-     * @param unanswered whether it says that the store does not answer it
+     * @param sameDomain whether it is in this box's failure domain
+     * @param readRecently whether it reports that it has read the list recently
+     * @param storeUnavailable whether it reports that the store does not answer it
      */
     public record Peer(String boxId, boolean sameDomain, boolean readRecently, boolean storeUnavailable) {}
 
     /**
-     * Creates the choice.
+     * Creates a policy.
      *
      * @param self this box
-     * @param heard peers that are heard and not stopping
-     * @param carries whether a box does work for others
+     * @param reachablePeers reachable peers that are not stopping
+     * @param isHub whether a box is a hub
      */
     public OneReaderPerDomainPolicy(String self, Supplier<List<Peer>> reachablePeers, Predicate<String> isHub) {
         this.self = self;
--- a/relay/src/main/java/org/wingstall/relay/control/ReadPolicy.java
+++ b/relay/src/main/java/org/wingstall/relay/control/ReadPolicy.java
@@ -1,15 +1,15 @@
 package org.wingstall.relay.control;
 
 /**
- * Says whether this box reads the list of endpoints at every turn, or waits for word of a change.
+ * Decides whether this box reads the endpoint list at every poll, or waits for changes that peers announce.
  *
- * <p>{@code if (duty.mine()) { read(); }}
+ * <p>{@code if (policy.shouldRead()) { read(); }}
  *
  * @since 0.3
  */
 @FunctionalInterface
 public interface ReadPolicy {
-    /** Every box reads; the baseline. */
+    /** Every box reads at every poll; the baseline for comparisons. */
     ReadPolicy ALWAYS = () -> true;
 
     /** Returns whether this box reads now. */
--- a/relay/src/main/java/org/wingstall/relay/control/RelayConfigFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayConfigFollower.java
@@ -7,9 +7,10 @@
 import org.wingstall.relay.wire.OperatorState;
 
 /**
- * Follows the configuration and the operators' evacuations; keeps what it has while its source does not answer. Runs on the control loop.
+ * Keeps the configuration and the evacuations up to date; keeps the last ones while the source fails. Runs on the
+ * control loop.
  *
- * <p>{@code new RelayConfigFollower(loop, config, state, evacuations).start();}
+ * <p>{@code new RelayConfigFollower(loop, source, state, evacuations).start();}
  *
  * @since 0.2
  */
@@ -26,9 +27,9 @@
      * Creates a follower.
      *
      * @param loop the control loop
-     * @param config where the configuration comes from
-     * @param state takes the configuration
-     * @param evacuations takes the evacuations
+     * @param source source of the configuration
+     * @param state receives the configuration
+     * @param evacuations receives the evacuations
      */
     public RelayConfigFollower(EventLoop loop, ConfigSource source, RelayState state, EvacuationState evacuations) {
         this.evacuations = evacuations;
@@ -37,7 +38,7 @@
         this.state = state;
     }
 
-    /** Begins to follow. */
+    /** Starts polling. */
     public void start() {
         loop.execute(this::poll);
     }
@@ -64,15 +65,15 @@
         evacuations.updateIfNewer(news.evacuations(), from);
     }
 
-    /** A whole read that found no configuration is followed by a wait: the first version comes as a change, too. */
+    /** After a full read without configuration it waits for changes, as the first version is reported as one, too. */
     private CompletableFuture<OperatorState> nextRead() {
         boolean first = fullReadDue && !state.config().known();
         return first ? HedgedRead.start(loop, () -> source.next(true)) : source.next(fullReadDue);
     }
 
     /**
-     * Reads the configuration now if a peer has a newer one: the call that waits for changes may wait on a connection that
-     * has fallen silent. For use on any thread.
+     * Reads the configuration now if a peer has a newer one: the call that waits for changes may be on a connection
+     * that no longer delivers data. For use on any thread.
      *
      * @param version the peer's version
      */
@@ -97,7 +98,7 @@
                         loop);
     }
 
-    /** Peers tell of their version with every heartbeat, far more often than a store that is away should be asked. */
+    /** Peers send their version with every heartbeat, far more often than an unavailable store should be retried. */
     private void allowCatchUpAfter(long delayMs) {
         loop.schedule(() -> catchUpInProgress = false, delayMs, TimeUnit.MILLISECONDS);
     }
--- a/relay/src/main/java/org/wingstall/relay/control/RelayPeerHost.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayPeerHost.java
@@ -11,9 +11,10 @@
 import org.wingstall.schema.peer.MemberNews;
 
 /**
- * Lends a box's state to its links with others: the version and the evacuations in force, what it read of the list, and whether it stops.
+ * Connects a box to its peer links: sends its versions, evacuations, list and stopping state, and applies those of
+ * peers.
  *
- * <p>{@code new PeerMesh(options, new RelayPeerHost(state, evacuations, stopping, follower::newerHeard, () -> list), loop, clock)}
+ * <p>{@code new RelayPeerHost(state, evacuations, stopping, follower::onNewerVersion, () -> list)}
  *
  * @since 0.2
  */
@@ -30,8 +31,8 @@
      * @param state the configuration in force
      * @param evacuations the evacuations in force
      * @param stopping whether a planned stop has begun
-     * @param newerHeard told of versions of the configuration that peers have and this box has not
-     * @param list how this box follows the list of endpoints
+     * @param newerVersionListener receives versions of the configuration that peers have and this box lacks
+     * @param listFollower follower of the endpoint list
      */
     public RelayPeerHost(
             RelayState state,
--- a/relay/src/main/java/org/wingstall/relay/control/RelayState.java
+++ b/relay/src/main/java/org/wingstall/relay/control/RelayState.java
@@ -7,9 +7,9 @@
 import org.wingstall.relay.config.RelayConfig;
 
 /**
- * The configuration in force; read on any thread, and never replaced by an older version.
+ * Holds the configuration in force, and never replaces it by an older version. Read on any thread.
  *
- * <p>{@code if (state.offer(config, "store")) { changed(); }}
+ * <p>{@code if (state.updateIfNewer(config, "store")) { changed(); }}
  *
  * @since 0.2
  */
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Takes a version into force if it is newer.
+     * Puts a version in force if it is newer.
      *
      * @param offered the version
      * @param from where it came from, for the log
-     * @return whether it is in force now and was not before
+     * @return whether it was newer
      */
     public boolean updateIfNewer(RelayConfig offered, String from) {
         RelayConfig before = config.getAndUpdate(now -> offered.version() > now.version() ? offered : now);
--- a/relay/src/main/java/org/wingstall/relay/control/SourceHealth.java
+++ b/relay/src/main/java/org/wingstall/relay/control/SourceHealth.java
@@ -6,14 +6,17 @@
 import org.wingstall.net.log.LogEvent;
 import org.wingstall.relay.wire.SourceException;
 
-/** Whether a source answers; writes a line when it is lost or regained. Written on the control loop, read on any thread. */
+/** Tracks whether a source answers, and logs when that changes. Updated on the control loop, read on any thread. */
 final class SourceHealth {
     private static final Logger LOG = LogManager.getLogger(SourceHealth.class);
 
-    /** Pause before a read that failed first is repeated, in ms; a few reads fit into the time a change may take. */
+    /** Delay before the first retry, in ms; several retries fit into the time within which a change must arrive. */
     private static final long BASE_RETRY_DELAY_MS = 250;
 
-    /** Doublings of that pause, up to 1 s: a fleet that asks a store that is down more often only adds to its load. */
+    /**
+     * Maximum doublings of that delay, to 1 s: a fleet that retries more often only adds to the load of the failing
+     * store.
+     */
     private static final int MAX_DOUBLINGS = 2;
 
     private final String source;
@@ -29,16 +32,16 @@
     }
 
     /**
-     * Returns the pause before the next read after one that failed.
+     * Returns the delay before the next read after a failed one.
      *
-     * @param known whether something was read before; a box that knows nothing asks again soon
+     * @param known whether a read has succeeded before; until then retries stay frequent
      */
     long retryDelayMs(boolean known) {
         int doublings = known ? Math.min(MAX_DOUBLINGS, Math.max(0, consecutiveFailures - 1)) : 0;
         return BASE_RETRY_DELAY_MS << doublings;
     }
 
-    /** Records the end of a read; the failure is null for one that was answered. */
+    /** Records the result of a read; the failure is null for a successful one. */
     void recordResult(Throwable failure) {
         boolean before = available;
         available = failure == null;
--- a/relay/src/test/java/org/wingstall/relay/control/CrashReportFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/CrashReportFollowerTest.java
@@ -14,7 +14,7 @@
 import org.wingstall.relay.wire.CrashReportStore;
 import org.wingstall.schema.peer.CrashReport;
 
-/** Each waiting call to the store has its price, so only boxes that nobody tells of reports wait there. */
+/** Tests that only boxes that get no reports from hubs make calls that wait at the store, as these are costly. */
 public class CrashReportFollowerTest implements CrashReportStore {
     private static final String WHOLE = "whole";
     private static final String WAITS = "waits";
@@ -63,7 +63,7 @@
         assertEquals(calls, List.of(WHOLE));
     }
 
-    /** What was kept meanwhile may have been missed, so it is read whole before the box waits for more. */
+    /** Reports saved in the meantime may have been missed, so a full read comes before the next wait. */
     @Test
     public void aBoxThatNoHubTellsAnyMoreReadsAgainAndWaits() {
         told = true;
--- a/relay/src/test/java/org/wingstall/relay/control/EvacuationStateTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/EvacuationStateTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import org.wingstall.relay.config.Evacuations;
 
-/** What is known as of the latest version of the store is in force, whichever way it came. */
+/** Tests that the evacuations of the latest store version are in force, whether they came from the store or a peer. */
 public class EvacuationStateTest {
     private final List<Set<String>> told = new ArrayList<>();
     private EvacuationState state;
--- a/relay/src/test/java/org/wingstall/relay/control/HedgedReadTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/HedgedReadTest.java
@@ -12,7 +12,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A box that starts is slower than its source, and doesn't take its own slowness for the source's silence. */
+/**
+ * Tests that a starting box, which is slower than its source, does not take its own delay for a failure of the source.
+ */
 public class HedgedReadTest {
     private final List<CompletableFuture<String>> calls = new ArrayList<>();
     private EmbeddedChannel channel;
@@ -35,7 +37,7 @@
         channel.runScheduledPendingTasks();
     }
 
-    /** Before, the call was given up after 700 ms, and the one made then had to wait for as long again. */
+    /** A call that was abandoned after 700 ms was replaced by one that took as long again. */
     @Test
     public void anAnswerThatComesLateStillCounts() {
         pass(HedgedRead.HEDGE_DELAY_MS + 1);
--- a/relay/src/test/java/org/wingstall/relay/control/ListFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/ListFollowerTest.java
@@ -33,7 +33,7 @@
     private volatile EndpointSource.Listing stored;
     private volatile boolean down;
 
-    /** A box that waits for word, after the first read that every box makes. */
+    /** Starts a box that relies on announced changes, after the first read that every box makes. */
     @BeforeMethod
     public void start() throws Exception {
         reads = new AtomicInteger();
@@ -80,7 +80,7 @@
         told.add(news);
     }
 
-    /** Tasks of the loop run one after the other, so a few rounds end what they led to. */
+    /** Runs the tasks of the loop and those that they submit; they run in order, so a few rounds are enough. */
     private void settle() throws Exception {
         for (int i = 0; i < 10; i++) {
             loop.submit(() -> {}).sync();
@@ -178,7 +178,7 @@
         assertTrue(follower.sourceUnavailable());
     }
 
-    /** A box that the store turned away for 9 s asked it with every heartbeat of every hub, 20 times a second. */
+    /** A box whose reads the store rejected for 9 s read at every heartbeat of every hub, 20 times a second. */
     @Test
     public void aStoreThatGivesNoAnswerIsNotAskedWithEveryHeartbeat() throws Exception {
         down = true;
--- a/relay/src/test/java/org/wingstall/relay/control/RelayConfigFollowerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/RelayConfigFollowerTest.java
@@ -28,7 +28,7 @@
     private volatile boolean away;
     private RelayConfigFollower follower;
 
-    /** The first whole read is answered; waiting for changes never is, as on a connection that fell silent. */
+    /** Answers full reads, but never the wait for changes, as on a connection that no longer delivers data. */
     @BeforeMethod
     public void start() throws Exception {
         loop = new DefaultEventLoop();
@@ -68,7 +68,7 @@
         return new RelayConfig(version, List.of(), List.of(), Map.of(), false, ClientLimits.DEFAULTS);
     }
 
-    /** Tasks of the loop run one after the other, so a few rounds end what they led to. */
+    /** Runs the tasks of the loop and those that they submit; they run in order, so a few rounds are enough. */
     private void settle() throws Exception {
         for (int i = 0; i < 10; i++) {
             loop.submit(() -> {}).sync();
@@ -91,7 +91,7 @@
         assertEquals(wholeReads.get(), before);
     }
 
-    /** Hubs tell of the version 20 times a second in a large fleet. */
+    /** Hubs send the version 20 times a second in a large fleet. */
     @Test
     public void aStoreThatTurnsThisBoxAwayIsNotAskedWithEveryHeartbeat() throws Exception {
         int before = wholeReads.get();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Boxes start before the operator has written a first configuration. A box that read the store over and over until then
-     * made 35 calls within its first second; the call that waits for a change tells of the first version as well.
+     * Boxes may start before there is a configuration. A box that repeated full reads until then made 35 calls within
+     * its first second; the call that waits for a change returns the first version as well.
      */
     @Test
     public void aStoreWithoutConfigurationIsReadOnceAndThenWaitedFor() throws Exception {
--- a/relay/src/test/java/org/wingstall/relay/control/RelayPeerHostTest.java
+++ b/relay/src/test/java/org/wingstall/relay/control/RelayPeerHostTest.java
@@ -14,13 +14,13 @@
 import org.wingstall.relay.endpoint.RelayEndpoints;
 import org.wingstall.schema.peer.MemberNews;
 
-/** What one box knows of the operators' evacuations, those that it is linked to know as well, whether the store answers them or not. */
+/** Tests that evacuations spread over peer links to boxes that the store does not answer. */
 public class RelayPeerHostTest {
     private static final MonotonicClock CLOCK = System::nanoTime;
 
     private EventLoop loop;
 
-    /** A box whose store never answers, and its end of a link. */
+    /** A box whose store never answers, and its peer host. */
     private static final class Box {
         private final EvacuationState evacuations = new EvacuationState(domains -> {});
         private final RelayPeerHost peers;
@@ -76,7 +76,7 @@
         assertEquals(behind.evacuated(), Set.of());
     }
 
-    /** A box that has just started knows nothing, which says nothing of evacuations. */
+    /** The empty state of a box that has just started must not replace evacuations. */
     @Test
     public void aBoxThatKnowsNothingEndsNoEvacuation() {
         reader.evacuations.updateIfNewer(new Evacuations(7, Set.of("east")), "store");
