--- a/relay/src/main/java/org/wingstall/relay/wire/BoxDirectory.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/BoxDirectory.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Where boxes find each other.
+ * A directory in which boxes announce themselves and find each other.
  *
  * <p>{@code directory.announce(self).thenCompose(done -> directory.read());}
  *
@@ -12,18 +12,18 @@
  */
 public interface BoxDirectory {
     /**
-     * A box as it announced itself.
+     * An announced box.
      *
-     * @param boxId its name
-     * @param failureDomain where it stands
-     * @param capacity processor time it has, in hundredths of a core
-     * @param peerAddress where it takes links
+     * @param boxId identifier of the box
+     * @param failureDomain failure domain that it runs in
+     * @param capacity processor time that it has, in hundredths of a core
+     * @param peerAddress address at which it accepts links
      */
     record Box(String boxId, String failureDomain, int capacity, String peerAddress) {}
 
-    /** Writes this box down for the others; fails with a {@link SourceException}. */
+    /** Announces this box to the others; fails with a {@link SourceException}. */
     CompletableFuture<Void> announce(Box self);
 
-    /** Reads all boxes that were written down, gone ones among them; fails with a {@link SourceException}. */
+    /** Reads all announced boxes, including ones that no longer run; fails with a {@link SourceException}. */
     CompletableFuture<List<Box>> read();
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/CallerProtocol.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/CallerProtocol.java
@@ -4,9 +4,9 @@
 import org.wingstall.net.http.HttpCall;
 
 /**
- * How callers are spoken to; translates, and decides nothing.
+ * Decodes requests of callers and encodes refusals; makes no decisions.
  *
- * <p>{@code RelayRequest request = wire.decode(call);}
+ * <p>{@code RelayRequest request = callerProtocol.decode(call);}
  *
  * @since 0.2
  */
@@ -16,13 +16,13 @@
      *
      * @param call the call
      * @return the request
-     * @throws RefusedException if it lacks what every request must have
+     * @throws RefusedException if a required part of the request is missing
      */
     RelayRequest decode(HttpCall call) throws RefusedException;
 
-    /** Returns the identifier that a call carries, for the log; null when it has none. */
+    /** Returns the request identifier of a call, for the log; null when it has none. */
     String requestId(HttpCall call);
 
-    /** Answers a request that gets no endpoint's answer. */
+    /** Sends a refusal to the caller of a request that gets no response of an endpoint. */
     void refuse(HttpCall call, RefusedException refusal);
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/CrashReportStore.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/CrashReportStore.java
@@ -5,24 +5,26 @@
 import org.wingstall.schema.peer.CrashReport;
 
 /**
- * Where reports of requests that crash endpoints outlive the boxes, and reach boxes that have no link to each other.
+ * Stores reports of requests that crash endpoints, so that they outlive the boxes and reach boxes without a link to
+ * each other.
  *
- * <p>{@code store.keep(report).thenCompose(done -> store.next(true));}
+ * <p>{@code store.save(report).thenCompose(done -> store.next(true));}
  *
  * @since 0.7
  */
 public interface CrashReportStore {
-    /** Keeps a report in place of an earlier one of the same request; fails with a {@link SourceException}. */
+    /** Saves a report; replaces an earlier one of the same request. Fails with a {@link SourceException}. */
     CompletableFuture<Void> save(CrashReport report);
 
-    /** Drops the report of a request; fails with a {@link SourceException}. */
+    /** Deletes the report of a request; fails with a {@link SourceException}. */
     CompletableFuture<Void> delete(String fingerprint);
 
     /**
-     * Reads all reports, or waits for some that are kept after the last answer.
+     * Reads all reports, or waits for reports that are saved after the last response.
      *
-     * @param whole whether to read all now
-     * @return the reports, with the ages that they have now; empty when none came while waiting; fails with a {@link SourceException}
+     * @param whole whether to read all reports now
+     * @return the reports, with their current ages; empty when none arrived during the wait; fails with a
+     *     {@link SourceException}
      */
     CompletableFuture<List<CrashReport>> next(boolean whole);
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointCall.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointCall.java
@@ -5,17 +5,17 @@
 import org.wingstall.core.route.EndpointIdentity;
 
 /**
- * What is added to a request when it is sent to an endpoint.
+ * The parameters of sending a request to an endpoint.
  *
  * <p>{@code wire.call(request, new EndpointCall(endpoint, 2500, "canteen", List.of(), null, null, 0))}
  *
- * @param endpoint the endpoint, and no other that may stand at its address by then
- * @param remainingMs time that the endpoint may work, in ms
- * @param workspace holder of the caller's key; empty without one
- * @param inputs results of stages that the endpoint reads
- * @param resumeAfter last event that the caller has, or null for the whole stream
- * @param fetchFrom engine that keeps parts of the prompt which this one lacks, or null
- * @param reuseIdleMs a kept connection that has been idle for longer is not used, in ms
+ * @param endpoint the endpoint; another one that is at its address by then must not run the request
+ * @param remainingMs time that the endpoint may take, in ms
+ * @param workspace workspace of the caller's key; empty without a key
+ * @param inputs handles of the stage results that the endpoint reads
+ * @param resumeAfter last event that the caller received, or null for the whole stream
+ * @param fetchFrom engine that has cached parts of the prompt which this one has not, or null
+ * @param maxIdleMs maximum idle time of a connection that may be reused, in ms
  * @since 0.2
  */
 public record EndpointCall(
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointProtocol.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointProtocol.java
@@ -8,9 +8,9 @@
 import org.wingstall.schema.check.InvalidDocumentException;
 
 /**
- * How endpoints are spoken to; translates, and decides nothing.
+ * Encodes calls to endpoints and decodes their responses; makes no decisions.
  *
- * <p>{@code client.send(loop, wire.call(request, call), 300, listener);}
+ * <p>{@code client.send(loop, endpointProtocol.call(request, call), 300, listener);}
  *
  * @since 0.2
  */
@@ -18,33 +18,33 @@
     /** Encodes a caller's request for an endpoint. */
     OutgoingRequest call(RelayRequest request, EndpointCall call);
 
-    /** Decodes the head of an endpoint's answer. */
+    /** Decodes the status and headers of an endpoint's response. */
     ResponseHead responseHead(int status, HttpHeaders headers);
 
     /** Encodes a call for pieces. */
     OutgoingRequest pieces(EndpointIdentity endpoint, List<Piece> pieces, List<Long> remainingMs);
 
     /**
-     * Decodes the answer to a call for pieces.
+     * Decodes the response to a call for pieces.
      *
-     * @param body body of the answer
-     * @return what became of each piece, in the order of the call
-     * @throws InvalidDocumentException if the body is no such answer
+     * @param body body of the response
+     * @return the result of each piece, in the order of the call
+     * @throws InvalidDocumentException if the body is not a valid response
      */
     List<PieceResult> pieceResults(byte[] body) throws InvalidDocumentException;
 
-    /** Encodes the giving up of results at their maker. */
-    OutgoingRequest free(InetSocketAddress maker, List<String> handles);
+    /** Encodes a call that frees results at the endpoint that stores them. */
+    OutgoingRequest free(InetSocketAddress endpointAddress, List<String> handles);
 
-    /** Encodes the question for an endpoint's state. */
+    /** Encodes a state query to an endpoint. */
     OutgoingRequest report(EndpointIdentity endpoint);
 
     /**
-     * Decodes what an endpoint says of its state.
+     * Decodes the response to a state query.
      *
-     * @param body body of the answer
+     * @param body body of the response
      * @return the report
-     * @throws InvalidDocumentException if the body is no such answer
+     * @throws InvalidDocumentException if the body is not a valid report
      */
     EndpointReport endpointReport(byte[] body) throws InvalidDocumentException;
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointReport.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointReport.java
@@ -3,11 +3,11 @@
 import java.util.OptionalDouble;
 
 /**
- * What an endpoint says of its state when it is asked; some hundred ms old already when it comes.
+ * The response of an endpoint to a state query; already some hundred ms old when it arrives.
  *
- * <p>{@code report.mostFreeBytes().ifPresent(free -> ledger.foundAtFirst(id, spec, free));}
+ * <p>{@code report.maxFreeBytes().ifPresent(free -> capacity.recordInitialFreeBytes(id, spec, free));}
  *
- * @param mostFreeBytes most room for results of stages that it may have; empty when it does no such work
+ * @param maxFreeBytes upper bound of its free capacity for stage results; empty when it runs no stages
  * @since 0.5
  */
 public record EndpointReport(OptionalDouble maxFreeBytes) {}
--- a/relay/src/main/java/org/wingstall/relay/wire/EndpointSource.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/EndpointSource.java
@@ -5,7 +5,7 @@
 import org.wingstall.schema.platform.Member;
 
 /**
- * Where the list of endpoints comes from.
+ * Source of the list of endpoints.
  *
  * <p>{@code source.read().thenAccept(listing -> endpoints.applyList(listing.entries()));}
  *
@@ -13,13 +13,13 @@
  */
 public interface EndpointSource {
     /**
-     * The whole list.
+     * The complete list.
      *
      * @param members the endpoints
-     * @param version version of the source as of which it was read; rises with each change of anything there
+     * @param version version of the source at the time of the read; rises with every change in the source
      */
     record Listing(List<Member> members, long version) {}
 
-    /** Reads the whole list; fails with a {@link SourceException}. */
+    /** Reads the complete list; fails with a {@link SourceException}. */
     CompletableFuture<Listing> read();
 }
--- a/relay/src/main/java/org/wingstall/relay/wire/OperatorState.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/OperatorState.java
@@ -5,12 +5,12 @@
 import org.wingstall.relay.config.RelayConfig;
 
 /**
- * What operators want, as read from its source.
+ * The configuration and evacuations that operators set, as read from their source.
  *
- * <p>{@code news.config().ifPresent(version -> state.offer(version, "store"));}
+ * <p>{@code update.config().ifPresent(version -> state.offer(version, "store"));}
  *
- * @param config the configuration; empty when there is none, or none that is newer than the last answer's
- * @param evacuations the failure domains that are evacuated, all of them
+ * @param config the configuration; empty when there is none, or none newer than that of the last response
+ * @param evacuations all evacuated failure domains
  * @since 0.8
  */
 public record OperatorState(Optional<RelayConfig> config, Evacuations evacuations) {}
--- a/relay/src/main/java/org/wingstall/relay/wire/Piece.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/Piece.java
@@ -12,9 +12,9 @@
  * @param requestId the request
  * @param stage number of the stage
  * @param index number of the piece in its stage
- * @param key what a first stage's piece is made from; null when it reads results
- * @param inputs results that it reads: all of all stages before it
- * @param origin what the request's first pieces are made from, and so all that read their results; null when it has none
+ * @param key key of the input of a piece of a first stage; null when it reads results
+ * @param inputs handles of the results that it reads: all results of all stages before it
+ * @param origin key of the input of the first stages, from which all results of the request derive; null without one
  * @since 0.2
  */
 public record Piece(String requestId, int stage, int index, String key, List<String> inputs, String origin) {
@@ -26,12 +26,12 @@
      */
     public record StageId(String requestId, int stage) {}
 
-    /** Returns whether the piece can be told from others, whichever request it is made for. */
+    /** Returns whether the piece has a fingerprint that does not depend on its request. */
     public boolean identifiable() {
         return origin != null;
     }
 
-    /** Returns what makes pieces of several requests the same. */
+    /** Returns the fingerprint, which is the same for equal pieces of different requests. */
     public Fingerprint fingerprint(String service) {
         byte[] content = origin.getBytes(StandardCharsets.UTF_8);
         return Fingerprint.of("", "PIECE", service + "/" + stage + "/" + index, content);
--- a/relay/src/main/java/org/wingstall/relay/wire/ResponseHead.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/ResponseHead.java
@@ -4,19 +4,19 @@
 import java.util.OptionalInt;
 
 /**
- * The head of an endpoint's answer, decoded.
+ * The decoded status and headers of an endpoint's response.
  *
- * <p>{@code if (head.notRun()) { tryAnother(); }}
+ * <p>{@code if (head.notExecuted()) { tryAnother(); }}
  *
  * @param status HTTP status
- * @param requestId request that the answer belongs to, or null when it does not say
- * @param signed whether the endpoint signed the answer; a success without is none
- * @param notRun whether the endpoint states that it has not run the request and never will
- * @param otherIncarnation whether another endpoint stands at the address now
- * @param streamed whether the body is a series of events
- * @param load requests running and waiting there, when it says so
- * @param limit requests that it takes from all boxes, when it says so
- * @param toCaller headers that go on to the caller
+ * @param requestId request that the response belongs to, or null when it does not say
+ * @param signed whether the endpoint signed the response; an unsigned success is not accepted as one
+ * @param notExecuted whether the endpoint states that it has not run the request and never will
+ * @param otherIncarnation whether another endpoint process is at the address now
+ * @param streamed whether the body is an event stream
+ * @param load requests running and waiting at the endpoint, when it reports them
+ * @param limit rate limit for all boxes together, when it advertises one
+ * @param callerHeaders headers that are forwarded to the caller
  * @since 0.2
  */
 public record ResponseHead(
@@ -29,7 +29,7 @@
         OptionalInt load,
         AdvertisedLimit limit,
         HttpHeaders callerHeaders) {
-    /** Returns whether the endpoint ran the request with success. */
+    /** Returns whether the endpoint ran the request successfully. */
     public boolean success() {
         return status >= 200 && status < 300;
     }
--- a/relay/src/main/java/org/wingstall/relay/wire/SourceException.java
+++ b/relay/src/main/java/org/wingstall/relay/wire/SourceException.java
@@ -1,9 +1,9 @@
 package org.wingstall.relay.wire;
 
 /**
- * Tells why the configuration or the list of endpoints could not be read.
+ * Thrown when the configuration or the list of endpoints can't be read.
  *
- * <p>{@code if (failure.kind() == SourceException.RequestKind.HISTORY_GONE) { readWhole(); }}
+ * <p>{@code if (failure.kind() == SourceException.Kind.HISTORY_GONE) { readWhole(); }}
  *
  * @since 0.2
  */
@@ -12,28 +12,28 @@
 
     /** Kinds of failure. */
     public enum Kind {
-        /** No answer came. */
+        /** No response arrived. */
         UNANSWERED,
         /** The source refused the read. */
         REFUSED,
-        /** Changes after the last answer are not known any more. */
+        /** The source no longer knows the changes after the last response. */
         HISTORY_GONE,
-        /** The answer is not what it should be. */
+        /** The response is invalid. */
         UNREADABLE
     }
 
     /**
      * Creates a failure.
      *
-     * @param kind what went wrong
-     * @param detail what went wrong in words
+     * @param kind kind of failure
+     * @param detail description for the log
      */
     public SourceException(Kind kind, String detail) {
         super(detail, null, false, false);
         this.kind = kind;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the kind of failure. */
     public Kind kind() {
         return kind;
     }
