--- a/relay/src/main/java/org/wingstall/relay/pool/AdmissionContext.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/AdmissionContext.java
@@ -3,13 +3,13 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What is known of the next second or so of a pool.
+ * The expected state of a pool over the next second or so, as input to the admission of groups.
  *
- * <p>{@code admission.turnedAway(groupsInOrder, new AdmissionContext(forecast, group -> nowMs, 0.7), nowMs)}
+ * <p>{@code admission.rejected(groupsInOrder, new AdmissionContext(forecast, group -> nowMs, 0.7), nowMs)}
  *
- * @param forecast when its slots are free, and how long calls take
- * @param roomAtMs when an endpoint surely has room for a group, in ms of the monotonic clock
- * @param load work that arrives for each unit that the pool can do; 1 when both are equal
+ * @param forecast when slots are free, and how long calls take
+ * @param capacityAtMs when an endpoint has result capacity for a group, in ms of the monotonic clock
+ * @param load ratio of arriving work to what the pool can do; 1 when both are equal
  * @since 0.5
  */
 public record AdmissionContext(PoolForecast forecast, ToLongFunction<PieceGroup> capacityAtMs, double load) {}
--- a/relay/src/main/java/org/wingstall/relay/pool/CallPlanner.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallPlanner.java
@@ -5,48 +5,49 @@
 import org.wingstall.relay.config.PoolSpec;
 
 /**
- * Says which pieces go into the next call, and to which endpoint.
+ * Decides which pieces go into the next call, and to which endpoint.
  *
- * <p>{@code planner.next(groupsInOrder, makers, spec, nowMs).ifPresent(this::send);}
+ * <p>{@code planner.planNext(groupsInOrder, endpoints, spec, nowMs).ifPresent(this::send);}
  *
  * @since 0.5
  */
 public interface CallPlanner {
     /**
-     * Plans a call.
+     * Plans the next call.
      *
-     * @param inOrder groups that wait, the first to go first
-     * @param makers endpoints that serve
-     * @param spec what an endpoint can do
+     * @param inOrder waiting groups, in the order in which they are served
+     * @param endpoints endpoints that can be called
+     * @param spec call times and limits of the endpoints
      * @param nowMs monotonic clock, in ms
-     * @return the call; empty when nothing can go now
+     * @return the call; empty when no group can be sent now
      */
-    Optional<PlannedCall> planNext(List<PieceGroup> inOrder, List<EndpointCapacity> makers, PoolSpec spec, long nowMs);
+    Optional<PlannedCall> planNext(
+            List<PieceGroup> inOrder, List<EndpointCapacity> endpoints, PoolSpec spec, long nowMs);
 
     /**
-     * An endpoint as a planner sees it.
+     * Free capacity and load of an endpoint.
      *
-     * @param endpointId its identifier
-     * @param failureDomain where it stands
+     * @param endpointId identifier of the endpoint
+     * @param failureDomain failure domain that it runs in
      * @param freeSlots calls that it can take now
-     * @param freeBytes room for results
-     * @param load calls there, with a small random part that breaks ties
+     * @param freeBytes free result capacity
+     * @param load estimated load, with a small random part that breaks ties
      */
     record EndpointCapacity(String endpointId, String failureDomain, int freeSlots, double freeBytes, double load) {}
 
     /**
-     * A call.
+     * A planned call.
      *
-     * @param maker the endpoint
-     * @param parts what it carries
+     * @param endpoint the endpoint to call
+     * @param parts the groups, or parts of groups, that it carries
      */
     record PlannedCall(EndpointCapacity endpoint, List<Part> parts) {}
 
     /**
-     * A group's part of a call.
+     * The pieces of one group in a call.
      *
      * @param group the group
-     * @param pieces how many of its pieces go
+     * @param pieces number of its pieces in the call
      */
     record Part(PieceGroup group, int pieces) {}
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/CallTimeEstimator.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallTimeEstimator.java
@@ -3,22 +3,25 @@
 import org.wingstall.core.estimate.OnlineLinearRegression;
 import org.wingstall.relay.config.PoolSpec;
 
-/** How long calls of one service take, from its configuration at first and then as measured. Confined to the request loop. */
+/**
+ * Estimates the duration of calls of one service, at first from its configuration and then from measurements. Confined
+ * to the request loop.
+ */
 final class CallTimeEstimator {
     private PoolSpec configured;
     private OnlineLinearRegression trend;
 
-    /** Records the time that a call took. */
+    /** Records the measured duration of a call. */
     void record(PoolSpec spec, int pieces, long tookMs) {
         trend(spec).observe(pieces, tookMs);
     }
 
-    /** Returns the time that a call with so many pieces takes, in ms. */
+    /** Returns the expected duration of a call with the given number of pieces, in ms. */
     double callMs(PoolSpec spec, int pieces) {
         return trend(spec).predict(pieces);
     }
 
-    /** Returns what so many pieces cost in full calls, in ms of one slot. */
+    /** Returns the slot time that the given number of pieces takes when calls are full, in ms. */
     double slotTimeMs(PoolSpec spec, int pieces) {
         return callMs(spec, spec.maxBatchSize()) * pieces / spec.maxBatchSize();
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/CallTimeouts.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallTimeouts.java
@@ -3,34 +3,35 @@
 import org.wingstall.relay.config.PoolSpec;
 
 /**
- * Says how long a call for pieces of one service may take until it counts as lost. Confined to the request loop.
+ * Computes the timeout of calls for pieces of one service. Confined to the request loop.
  *
- * <p>One endpoint that has stopped loses its calls soon; when no endpoint of the service answers in time, all of them are
- * slow, and calls get longer with each round of lost ones.
+ * <p>Calls to a single stopped endpoint time out early. When calls to all endpoints of the service time out, the
+ * endpoints are taken to be slow, and the timeout grows with each round in which as many calls are lost as there are
+ * endpoints.
  */
 final class CallTimeouts {
-    /** FullMark calls that may stand before this one at the endpoint: another box's, while views of who gathers differ. */
+    /** Full calls of another box that may run before this one, while boxes disagree on which one is the coordinator. */
     private static final int CALLS_AHEAD = 1;
 
     /**
-     * Factor on the expected time. Endpoints of a service differ by less than half; at 2.5 and two calls ahead, a call to one
-     * that had stopped held pieces for 1.9 s, longer than the target of any route.
+     * Factor on the expected time. The speeds of a service's endpoints differ by less than half. With a factor of 2.5
+     * and two calls ahead, a call to a stopped endpoint held its pieces for 1.9 s, longer than the target of any route.
      */
     private static final double EXPECTED_TIME_FACTOR = 2;
 
-    /** Most rounds of lost calls that make calls longer; then a call may take as long as twelve expected ones. */
+    /** Maximum rounds of lost calls that raise the timeout; it is then about the time of twelve expected calls. */
     private static final int MAX_ROUNDS = 3;
 
     private int consecutiveLosses;
 
-    /** Records a call that was answered; one that took long says that the service is slow still. */
+    /** Records an answered call; resets the count of losses unless it took longer than the base timeout. */
     void recordAnswer(PoolSpec spec, int pieces, long tookMs) {
         if (tookMs <= baseTimeoutMs(spec, pieces)) {
             consecutiveLosses = 0;
         }
     }
 
-    /** Records a call that was lost. */
+    /** Records a lost call. */
     void recordLoss() {
         consecutiveLosses++;
     }
@@ -38,9 +39,9 @@
     /**
      * Returns the time after which a call counts as lost.
      *
-     * @param spec what the service's endpoints do
-     * @param pieces pieces of the call
-     * @param endpoints endpoints of the service
+     * @param spec configured call times and limits of the service's endpoints
+     * @param pieces number of pieces in the call
+     * @param endpoints number of endpoints of the service
      * @return the time, in ms
      */
     long timeoutMs(PoolSpec spec, int pieces, int endpoints) {
--- a/relay/src/main/java/org/wingstall/relay/pool/CoordinatorSelector.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CoordinatorSelector.java
@@ -1,22 +1,22 @@
 package org.wingstall.relay.pool;
 
 /**
- * Says which box does a service's joint work: gathers pieces, so that calls carry those of many boxes' requests, or chooses
- * engines for all.
+ * Selects the coordinator of a service: the box that batches the pieces of all boxes, so that a call carries pieces of
+ * many requests, or that selects engines for all boxes.
  *
- * <p>{@code String gatherer = gathering.gathererOf("pay-ledger");}
+ * <p>{@code String coordinator = selector.coordinatorOf("pay-ledger");}
  *
  * @since 0.2
  */
 public interface CoordinatorSelector {
-    /** Every box makes its own calls; the baseline. */
+    /** Makes every box its own coordinator; the baseline. */
     CoordinatorSelector NONE = service -> null;
 
     /**
-     * Returns the box that does the joint work of a service.
+     * Returns the coordinator of a service.
      *
      * @param service the service
-     * @return name of another box, or null when it is this one
+     * @return identifier of another box, or null when this box is the coordinator
      */
     String coordinatorOf(String service);
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/DelegatedPieces.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/DelegatedPieces.java
@@ -14,8 +14,8 @@
 import org.wingstall.schema.peer.StageWork;
 
 /**
- * The pieces that this box asked others to have made. When the box that gathers them is lost they are submitted again: a
- * piece may be made twice. Confined to the request loop.
+ * Tracks the pieces that this box delegated to coordinators. When a coordinator is lost its pieces are submitted again,
+ * so a piece may run twice. Confined to the request loop.
  */
 final class DelegatedPieces {
     private final PieceLinks links;
@@ -24,38 +24,38 @@
     private final Map<Long, Delegation> delegations = new HashMap<>();
     private long nextCorrelation = 1;
 
-    /** Takes pieces whose gathering box was lost. */
+    /** Submits pieces again whose coordinator was lost. */
     @FunctionalInterface
     interface Resubmitter {
-        void resubmit(String service, List<PieceTask> tickets);
+        void resubmit(String service, List<PieceTask> tasks);
     }
 
     private static final class Delegation {
         private final String boxId;
         private final String service;
-        private final PieceTask[] tickets;
+        private final PieceTask[] tasks;
         private int remaining;
 
-        Delegation(String boxId, String service, List<PieceTask> tickets) {
+        Delegation(String boxId, String service, List<PieceTask> tasks) {
             this.boxId = boxId;
             this.service = service;
-            this.tickets = tickets.toArray(new PieceTask[0]);
-            this.remaining = tickets.size();
+            this.tasks = tasks.toArray(new PieceTask[0]);
+            this.remaining = tasks.size();
         }
 
         List<PieceTask> unfinished() {
             List<PieceTask> unfinished = new ArrayList<>();
-            for (PieceTask ticket : tickets) {
-                if (ticket != null && !ticket.withdrawn()) {
-                    unfinished.add(ticket);
+            for (PieceTask task : tasks) {
+                if (task != null && !task.withdrawn()) {
+                    unfinished.add(task);
                 }
             }
             return unfinished;
         }
 
         boolean withdrawn() {
-            for (PieceTask ticket : tickets) {
-                if (ticket != null && !ticket.withdrawn()) {
+            for (PieceTask task : tasks) {
+                if (task != null && !task.withdrawn()) {
                     return false;
                 }
             }
@@ -69,19 +69,19 @@
         this.resubmitter = resubmit;
     }
 
-    /** Asks a box for pieces; returns whether there is a link to it. */
-    boolean delegate(String boxId, String service, List<PieceTask> tickets) {
+    /** Delegates pieces to a coordinator; returns whether there is a link to it. */
+    boolean delegate(String boxId, String service, List<PieceTask> tasks) {
         long correlation = nextCorrelation++;
-        List<StagePiece> pieces = tickets.stream().map(this::encode).toList();
+        List<StagePiece> pieces = tasks.stream().map(this::encode).toList();
         if (!links.askFor(boxId, correlation, new StageWork(service, pieces))) {
             return false;
         }
-        delegations.put(correlation, new Delegation(boxId, service, tickets));
+        delegations.put(correlation, new Delegation(boxId, service, tasks));
         return true;
     }
 
-    private StagePiece encode(PieceTask ticket) {
-        Piece piece = ticket.piece();
+    private StagePiece encode(PieceTask task) {
+        Piece piece = task.piece();
         long nowMs = clock.nowMs();
         return new StagePiece(
                 piece.requestId(),
@@ -89,38 +89,39 @@
                 piece.index(),
                 piece.key(),
                 piece.inputs(),
-                ticket.urgency().rank(),
-                Math.max(0, ticket.urgency().deadlineAtMs() - nowMs),
-                Math.max(0, ticket.urgency().targetAtMs() - nowMs),
-                ticket.placement().resultBytes(),
-                ticket.placement().nearDomain(),
-                ticket.placement().crossDomainBytes(),
+                task.urgency().rank(),
+                Math.max(0, task.urgency().deadlineAtMs() - nowMs),
+                Math.max(0, task.urgency().targetAtMs() - nowMs),
+                task.placement().resultBytes(),
+                task.placement().nearDomain(),
+                task.placement().crossDomainBytes(),
                 piece.origin());
     }
 
     void resultReceived(String boxId, long correlation, StageResult result) {
         Delegation work = delegations.get(correlation);
-        boolean expected = work != null && work.boxId.equals(boxId) && result.getPlace() < work.tickets.length;
-        if (!expected || work.tickets[result.getPlace()] == null) {
+        boolean expected = work != null && work.boxId.equals(boxId) && result.getPlace() < work.tasks.length;
+        if (!expected || work.tasks[result.getPlace()] == null) {
             return;
         }
-        PieceTask ticket = work.tickets[result.getPlace()];
-        work.tickets[result.getPlace()] = null;
+        PieceTask task = work.tasks[result.getPlace()];
+        work.tasks[result.getPlace()] = null;
         work.remaining--;
         if (work.remaining == 0) {
             delegations.remove(correlation);
         }
-        ticket.complete(decode(result, boxId));
+        task.complete(decode(result, boxId));
     }
 
-    private static PieceOutcome decode(StageResult result, String gatherer) {
+    private static PieceOutcome decode(StageResult result, String coordinator) {
         if (result.getHandle() == null) {
             return PieceOutcome.failed(PieceResult.Failure.fromName(result.getFailure()), result.getAgainMs());
         }
-        return PieceOutcome.success(PieceResult.of(result.getHandle()), Addresses.parse(result.getMaker()), gatherer);
+        return PieceOutcome.success(
+                PieceResult.of(result.getHandle()), Addresses.parse(result.getMaker()), coordinator);
     }
 
-    /** Tells gathering boxes of the work that nobody here wants any more. */
+    /** Withdraws delegated work from its coordinators once all of its unfinished pieces are withdrawn. */
     void announceWithdrawn() {
         delegations.entrySet().removeIf(entry -> {
             boolean unwanted = entry.getValue().withdrawn();
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Submits what a box was asked for again, because it is lost or silent. Should it hear again later, it is told that
-     * nobody wants that work any more.
+     * Submits the pieces delegated to a coordinator again, because it is lost or unresponsive. Also sends it a
+     * withdrawal, so that it drops the work if it is still running.
      */
     void boxLost(String boxId) {
         List<Delegation> lost = new ArrayList<>();
@@ -152,7 +153,7 @@
         }
     }
 
-    /** Returns the boxes that pieces are expected from. */
+    /** Returns the coordinators that have unfinished pieces of this box. */
     List<String> boxes() {
         return delegations.values().stream().map(work -> work.boxId).distinct().toList();
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/ForecastAdmission.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ForecastAdmission.java
@@ -4,27 +4,31 @@
 import java.util.List;
 
 /**
- * Turns away what would not be done by a time that is of use to its caller, as soon as that is known: on its arrival, or when something more
- * urgent took its place. The load that it answers is a burst beyond what a pool can do: without it every request waits until
- * its time is over, and so most that are served are late as well. The same holds while results of former lives fill the endpoints.
+ * Rejects groups that are forecast to finish too late to be of use to their caller, as soon as this is known: on
+ * arrival, or when a more urgent group is served first. It is meant for bursts above the throughput of a pool. Without
+ * it every request waits until its deadline, so most of those that are served miss their target as well. The same
+ * happens while results from before a restart fill the endpoints.
  */
 final class ForecastAdmission implements PoolAdmission {
     /**
-     * Least spare part of the pool that late groups are reckoned to get. Below a tenth their wait would be ten times as long
-     * as what waits now, which is longer than any caller stays.
+     * Minimum fraction of the pool that is assumed to be left for groups that miss their target. Below a tenth their
+     * forecast wait would be more than ten times the time that the queue takes now, which is longer than any caller
+     * waits.
      */
     private static final double MIN_SPARE_CAPACITY = 0.1;
 
-    /** Longest time after which to come back, in ms: how long a burst lasts can't be foreseen for longer. */
+    /**
+     * Maximum time after which a caller is asked to retry, in ms; the length of a burst can't be predicted beyond it.
+     */
     private static final long MAX_RETRY_AFTER_MS = 3000;
 
     private final CompletionLimit completionLimit;
 
-    /** Says until when a group has to be done. */
+    /** Determines the latest useful end of a group. */
     @FunctionalInterface
     interface CompletionLimit {
         /** Returns the time after which the group's results are of no use, in ms of the monotonic clock. */
-        long latestEndMs(PieceGroup group, AdmissionContext outlook);
+        long latestEndMs(PieceGroup group, AdmissionContext context);
     }
 
     ForecastAdmission(CompletionLimit latestEnd) {
@@ -32,26 +36,29 @@
     }
 
     @Override
-    public List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext outlook, long nowMs) {
-        List<Long> ends = outlook.forecast()
+    public List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext context, long nowMs) {
+        List<Long> ends = context.forecast()
                 .endsAtMs(inOrder.stream().map(PieceGroup::size).toList());
-        double spare = Math.max(MIN_SPARE_CAPACITY, 1 - outlook.load());
-        List<RejectedGroup> away = new ArrayList<>();
-        long againMs =
+        double spare = Math.max(MIN_SPARE_CAPACITY, 1 - context.load());
+        List<RejectedGroup> rejected = new ArrayList<>();
+        long retryAfterMs =
                 ends.isEmpty() ? 0 : Math.min(MAX_RETRY_AFTER_MS, waitMs(ends.get(ends.size() - 1), nowMs, spare));
         for (int i = 0; i < ends.size(); i++) {
             PieceGroup group = inOrder.get(i);
             double part = group.isLateAt(nowMs) ? spare : 1;
-            long roomAtMs = outlook.capacityAtMs().applyAsLong(group);
+            long roomAtMs = context.capacityAtMs().applyAsLong(group);
             long endsAtMs = Math.max(nowMs + waitMs(ends.get(i), nowMs, part), roomAtMs + group.callMs());
-            if (endsAtMs > completionLimit.latestEndMs(group, outlook)) {
-                away.add(new RejectedGroup(group, Math.max(againMs, roomAtMs - nowMs)));
+            if (endsAtMs > completionLimit.latestEndMs(group, context)) {
+                rejected.add(new RejectedGroup(group, Math.max(retryAfterMs, roomAtMs - nowMs)));
             }
         }
-        return away;
+        return rejected;
     }
 
-    /** Groups that are late already are overtaken by those that still come, so they get the spare part only. */
+    /**
+     * Scales a forecast wait: later arrivals are served before groups that miss their target, which get a fraction
+     * only.
+     */
     private static long waitMs(long endsAtMs, long nowMs, double part) {
         if (endsAtMs == PoolForecast.NEVER) {
             return Integer.MAX_VALUE;
--- a/relay/src/main/java/org/wingstall/relay/pool/GroupOrder.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/GroupOrder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Says which groups of pieces go to an endpoint first.
+ * Sorts waiting groups of pieces by the order in which they are sent to endpoints.
  *
  * <p>{@code order.sorted(groups, nowMs)}
  *
@@ -11,16 +11,19 @@
  */
 public interface GroupOrder {
     /**
-     * Returns the groups in the order in which they go.
+     * Returns the groups in the order in which they are sent.
      *
      * @param groups the groups, in any order
      * @param nowMs monotonic clock, in ms
      */
     List<PieceGroup> sorted(List<PieceGroup> groups, long nowMs);
 
-    /** In the order of arrival; the baseline. */
+    /** Keeps the order of arrival; the baseline. */
     GroupOrder ARRIVAL = (groups, nowMs) -> List.copyOf(groups);
 
-    /** Those that can still be in time first, then by rank, then the earliest target. */
+    /**
+     * Sorts groups that can still meet their target first, then by rank, then by the latest start that meets the
+     * target.
+     */
     GroupOrder EARLIEST_TARGET = new EarliestTargetOrder();
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PeerPieces.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PeerPieces.java
@@ -12,7 +12,9 @@
 import org.wingstall.schema.peer.StageResult;
 import org.wingstall.schema.peer.StageWork;
 
-/** The pieces that this box has made for others, in the same pools as its own. Confined to the request loop. */
+/**
+ * Runs the pieces that other boxes delegated to this box, in the same pools as its own. Confined to the request loop.
+ */
 final class PeerPieces {
     private final PieceLinks links;
     private final MonotonicClock clock;
@@ -26,16 +28,16 @@
     }
 
     void workReceived(String boxId, long correlation, StageWork work) {
-        List<PieceTask> tickets = new ArrayList<>();
+        List<PieceTask> tasks = new ArrayList<>();
         for (StagePiece piece : work.getPieces()) {
-            int place = tickets.size();
-            tickets.add(decode(piece, (ticket, made) -> completed(boxId, correlation, place, made)));
+            int place = tasks.size();
+            tasks.add(decode(piece, (task, outcome) -> completed(boxId, correlation, place, outcome)));
         }
-        byBox.computeIfAbsent(boxId, box -> new HashMap<>()).put(correlation, tickets);
-        pools.pool(work.getService()).submit(tickets);
+        byBox.computeIfAbsent(boxId, box -> new HashMap<>()).put(correlation, tasks);
+        pools.pool(work.getService()).submit(tasks);
     }
 
-    private PieceTask decode(StagePiece piece, PieceTask.CompletionListener owner) {
+    private PieceTask decode(StagePiece piece, PieceTask.CompletionListener listener) {
         long nowMs = clock.nowMs();
         return new PieceTask(
                 new Piece(
@@ -47,28 +49,28 @@
                         piece.getOrigin()),
                 new Urgency(piece.getRank(), nowMs + piece.getTargetMs(), nowMs + piece.getRemainingMs()),
                 new PieceTask.Placement(piece.getNearDomain(), piece.getResultBytes(), piece.getAwayBytes()),
-                owner);
+                listener);
     }
 
-    private void completed(String boxId, long correlation, int place, PieceOutcome made) {
-        List<PieceTask> tickets = byBox.getOrDefault(boxId, Map.of()).get(correlation);
-        boolean wanted = tickets != null && links.tellResult(boxId, correlation, encode(place, made));
+    private void completed(String boxId, long correlation, int place, PieceOutcome outcome) {
+        List<PieceTask> tasks = byBox.getOrDefault(boxId, Map.of()).get(correlation);
+        boolean wanted = tasks != null && links.tellResult(boxId, correlation, encode(place, outcome));
         if (!wanted) {
-            pools.freer().free(made);
+            pools.freer().free(outcome);
             return;
         }
-        tickets.set(place, null);
-        if (tickets.stream().allMatch(ticket -> ticket == null)) {
+        tasks.set(place, null);
+        if (tasks.stream().allMatch(task -> task == null)) {
             byBox.get(boxId).remove(correlation);
         }
     }
 
-    private static StageResult encode(int place, PieceOutcome made) {
-        if (!made.result().success()) {
-            return new StageResult(place, null, null, made.result().failure().name(), made.retryAfterMs());
+    private static StageResult encode(int place, PieceOutcome outcome) {
+        if (!outcome.result().success()) {
+            return new StageResult(place, null, null, outcome.result().failure().name(), outcome.retryAfterMs());
         }
-        String maker = Addresses.format(made.endpointAddress());
-        return new StageResult(place, made.result().handle(), maker, null, 0);
+        String endpoint = Addresses.format(outcome.endpointAddress());
+        return new StageResult(place, outcome.result().handle(), endpoint, null, 0);
     }
 
     void withdrawn(String boxId, long correlation) {
@@ -82,13 +84,13 @@
         }
     }
 
-    private static void withdraw(List<PieceTask> tickets) {
-        if (tickets == null) {
+    private static void withdraw(List<PieceTask> tasks) {
+        if (tasks == null) {
             return;
         }
-        for (PieceTask ticket : tickets) {
-            if (ticket != null) {
-                ticket.withdraw();
+        for (PieceTask task : tasks) {
+            if (task != null) {
+                task.withdraw();
             }
         }
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceGroup.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceGroup.java
@@ -5,7 +5,7 @@
 import org.wingstall.relay.config.PoolSpec;
 
 /**
- * The pieces of one stage of one request that wait together; they read the same results.
+ * A group of queued pieces of one stage of one request; they read the same results.
  *
  * <p>{@code group.urgency().targetAtMs()}
  *
@@ -13,14 +13,15 @@
  */
 public final class PieceGroup {
     /**
-     * Time for which a group waits for an endpoint near its inputs or reader, in ms for each megabyte that would go between
-     * failure domains: each piece reads all its inputs, so a group moves them as often as it has pieces.
+     * Time for which a group waits for an endpoint in the failure domain of its inputs or reader, in ms for each
+     * megabyte that would be sent between failure domains. Each piece reads all inputs, so the bytes are multiplied by
+     * the number of pieces.
      */
     private static final double NEAR_WAIT_MS_PER_MB = 300;
 
     private static final double BYTES_PER_MB = 1e6;
 
-    /** Time left until the pieces have to begin below which any endpoint will do, in ms; about a call. */
+    /** Time before the latest start from which a group no longer waits for a near endpoint, in ms; about one call. */
     private static final long NEAR_WAIT_CUTOFF_MS = 200;
 
     private final List<PieceTask> waiting;
@@ -34,19 +35,19 @@
     /**
      * Creates a group.
      *
-     * @param tickets its pieces, at least one
-     * @param sinceMs when it began to wait, in ms of the monotonic clock
-     * @param callMs expected time of the call that makes it, in ms
-     * @param apart whether it goes in calls of its own, since an endpoint ended under one of its pieces
+     * @param tasks its pieces, at least one
+     * @param waitingSinceMs when it was queued, in ms of the monotonic clock
+     * @param callMs expected duration of its call, in ms
+     * @param isolated whether it is sent in calls of its own, since a piece of it is suspected of crashing endpoints
      */
-    PieceGroup(List<PieceTask> tickets, long sinceMs, double callMs, boolean apart) {
-        this.isolated = apart;
-        this.waitingSinceMs = sinceMs;
+    PieceGroup(List<PieceTask> tasks, long waitingSinceMs, double callMs, boolean isolated) {
+        this.isolated = isolated;
+        this.waitingSinceMs = waitingSinceMs;
         this.callMs = Math.round(callMs);
-        this.waiting = new ArrayList<>(tickets);
-        this.urgency = tickets.get(0).urgency();
-        this.placement = tickets.get(0).placement();
-        this.hasPredecessors = tickets.get(0).piece().key() == null;
+        this.waiting = new ArrayList<>(tasks);
+        this.urgency = tasks.get(0).urgency();
+        this.placement = tasks.get(0).placement();
+        this.hasPredecessors = tasks.get(0).piece().key() == null;
     }
 
     Urgency urgency() {
@@ -57,17 +58,17 @@
         return placement;
     }
 
-    /** Returns whether other stages of its request were done for it; their work is lost when it is turned away. */
+    /** Returns whether it reads results of earlier stages; their work is lost when the group is rejected. */
     boolean hasPredecessors() {
         return hasPredecessors;
     }
 
-    /** Returns whether it goes in calls of its own. */
+    /** Returns whether it is sent in calls of its own. */
     boolean isolated() {
         return isolated;
     }
 
-    /** Returns whether an endpoint of the failure domain may take the group now. */
+    /** Returns whether the group may be sent to the failure domain now. */
     boolean maySendTo(String failureDomain, long nowMs) {
         boolean hurries = latestStartAtMs() - nowMs < NEAR_WAIT_CUTOFF_MS;
         return near(failureDomain) || hurries || nowMs - waitingSinceMs >= nearWaitMs();
@@ -77,40 +78,43 @@
         return NEAR_WAIT_MS_PER_MB * size() * placement.crossDomainBytes() / BYTES_PER_MB;
     }
 
-    /** Returns whether the failure domain is that of its inputs or reader, or makes no difference. */
+    /** Returns whether the failure domain is that of its inputs or reader, or any domain will do. */
     boolean near(String failureDomain) {
         return placement.nearDomain().isEmpty() || placement.nearDomain().equals(failureDomain);
     }
 
-    /** Returns when its call has to begin so that the request is answered in time, in ms of the monotonic clock. */
+    /** Returns when its call has to start so that the request meets its target, in ms of the monotonic clock. */
     long latestStartAtMs() {
         return urgency.targetAtMs() - callMs;
     }
 
-    /** Returns the expected time of the call that makes it, in ms. */
+    /** Returns the expected duration of its call, in ms. */
     long callMs() {
         return callMs;
     }
 
-    /** Returns the room that its results need to go whole; one that is larger than a call or an endpoint's room goes in parts. */
+    /**
+     * Returns the result capacity that the group needs. A group that is larger than a call, or than the capacity of an
+     * endpoint, is sent in parts and needs the capacity of the largest possible part.
+     */
     double neededBytes(PoolSpec spec) {
         double resultBytes = Math.max(1, placement.resultBytes());
         double mostPieces = Math.min(spec.maxBatchSize(), Math.floor(spec.resultCapacityBytes() / resultBytes));
         return resultBytes * Math.max(1, Math.min(size(), mostPieces));
     }
 
-    /** Returns whether its request can't be answered in time any more. */
+    /** Returns whether it is too late to start a call that meets the request's target. */
     boolean isLateAt(long nowMs) {
         return latestStartAtMs() < nowMs;
     }
 
-    /** Returns the pieces that still wait, without those that were withdrawn. */
+    /** Returns the number of queued pieces, without those that were withdrawn. */
     int size() {
         waiting.removeIf(PieceTask::withdrawn);
         return waiting.size();
     }
 
-    /** Removes and returns so many pieces at most. */
+    /** Removes and returns at most the given number of pieces. */
     List<PieceTask> take(int most) {
         List<PieceTask> first = waiting.subList(0, Math.min(most, waiting.size()));
         List<PieceTask> taken = List.copyOf(first);
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceQuarantine.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceQuarantine.java
@@ -8,8 +8,9 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
 /**
- * What the quarantine says of the pieces of one service, and is told of their calls. A piece may be part of many requests, and
- * a call carries pieces of several: all of them are suspected when its endpoint ends. Confined to the request loop.
+ * Applies the quarantine to the pieces of one service, and reports the ends of their calls to it. The same piece may be
+ * part of many requests, and a call carries pieces of several: all of them are suspected when its endpoint crashes.
+ * Confined to the request loop.
  */
 final class PieceQuarantine {
     private final String service;
@@ -20,41 +21,44 @@
         this.quarantine = quarantine;
     }
 
-    /** Returns why one of some pieces is not to be sent now. */
-    Optional<QuarantineRefusal> hold(List<PieceTask> tickets) {
-        return tickets.stream()
-                .filter(ticket -> ticket.piece().identifiable())
-                .map(ticket -> quarantine.refusal(() -> ticket.piece().fingerprint(service)))
+    /** Returns the refusal of the first quarantined piece; empty when all pieces may be sent. */
+    Optional<QuarantineRefusal> hold(List<PieceTask> tasks) {
+        return tasks.stream()
+                .filter(task -> task.piece().identifiable())
+                .map(task -> quarantine.refusal(() -> task.piece().fingerprint(service)))
                 .flatMap(Optional::stream)
                 .findFirst();
     }
 
-    /** Returns whether an endpoint ended under one of some pieces: they are made apart from other requests' pieces then. */
-    boolean anySuspected(List<PieceTask> tickets) {
-        return tickets.stream()
-                .filter(ticket -> ticket.piece().identifiable())
-                .anyMatch(ticket -> quarantine.isSuspected(() -> ticket.piece().fingerprint(service)));
+    /**
+     * Returns whether a piece is suspected of crashing endpoints; its group is sent without pieces of other requests
+     * then.
+     */
+    boolean anySuspected(List<PieceTask> tasks) {
+        return tasks.stream()
+                .filter(task -> task.piece().identifiable())
+                .anyMatch(task -> quarantine.isSuspected(() -> task.piece().fingerprint(service)));
     }
 
-    /** Records that a call ended without an answer. */
-    void callLost(List<PieceTask> tickets, RelayEndpoint endpoint, Throwable failure) {
+    /** Reports a lost call to the quarantine if the endpoint reset the connection after the request was written. */
+    void callLost(List<PieceTask> tasks, RelayEndpoint endpoint, Throwable failure) {
         boolean ended = failure instanceof TransportException broken
                 && broken.kind() == TransportException.Kind.RESET
                 && broken.requestWritten();
         if (ended) {
             quarantine.endpointLost(
-                    tickets.stream()
-                            .filter(ticket -> ticket.piece().identifiable())
-                            .map(ticket -> ticket.piece().fingerprint(service))
+                    tasks.stream()
+                            .filter(task -> task.piece().identifiable())
+                            .map(task -> task.piece().fingerprint(service))
                             .toList(),
                     endpoint.key());
         }
     }
 
-    /** Records that a piece was made. */
-    void pieceSucceeded(PieceTask ticket, RelayEndpoint endpoint, long sentAtMs) {
-        if (ticket.piece().identifiable()) {
-            quarantine.answered(() -> ticket.piece().fingerprint(service), endpoint.key(), sentAtMs, true);
+    /** Reports a successful piece to the quarantine. */
+    void pieceSucceeded(PieceTask task, RelayEndpoint endpoint, long sentAtMs) {
+        if (task.piece().identifiable()) {
+            quarantine.answered(() -> task.piece().fingerprint(service), endpoint.key(), sentAtMs, true);
         }
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceTask.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceTask.java
@@ -2,7 +2,7 @@
 
 import org.wingstall.relay.wire.Piece;
 
-/** A piece that waits for its turn or is at work. */
+/** A piece that is queued or running. */
 final class PieceTask {
     private final Piece piece;
     private final Urgency urgency;
@@ -11,26 +11,26 @@
     private int calls;
     private boolean withdrawn;
 
-    /** Told what became of a piece; on the request loop. */
+    /** Receives the outcome of a piece, on the request loop. */
     @FunctionalInterface
     interface CompletionListener {
-        void completed(PieceTask ticket, PieceOutcome made);
+        void completed(PieceTask task, PieceOutcome outcome);
     }
 
     /**
-     * Where a piece is best made, and what it leaves there.
+     * The preferred failure domain of a piece, and the sizes that depend on where it runs.
      *
-     * @param nearDomain failure domain of its inputs or of its reader; empty when it does not matter
+     * @param nearDomain failure domain of its inputs or of its reader; empty when any domain will do
      * @param resultBytes approximate size of its result
-     * @param awayBytes what goes between failure domains when it is made in another one
+     * @param crossDomainBytes bytes sent between failure domains when it runs in another one
      */
     record Placement(String nearDomain, long resultBytes, long crossDomainBytes) {}
 
-    PieceTask(Piece piece, Urgency urgency, Placement placement, CompletionListener owner) {
+    PieceTask(Piece piece, Urgency urgency, Placement placement, CompletionListener listener) {
         this.piece = piece;
         this.urgency = urgency;
         this.placement = placement;
-        this.listener = owner;
+        this.listener = listener;
     }
 
     Piece piece() {
@@ -53,12 +53,12 @@
         calls++;
     }
 
-    /** Takes the last call back: the endpoint had no room, so it has not begun. */
+    /** Uncounts the last call: the endpoint had no result capacity and did not start the piece. */
     void uncountCall() {
         calls--;
     }
 
-    /** Takes the piece back; one that is at work already is finished, and its result given up. */
+    /** Withdraws the piece. One that is already running is finished, and its result is freed. */
     void withdraw() {
         withdrawn = true;
     }
@@ -67,7 +67,7 @@
         return withdrawn;
     }
 
-    void complete(PieceOutcome made) {
-        listener.completed(this, made);
+    void complete(PieceOutcome outcome) {
+        listener.completed(this, outcome);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolAdmission.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolAdmission.java
@@ -3,45 +3,46 @@
 import java.util.List;
 
 /**
- * Says which groups of pieces are turned away instead of waiting for an endpoint.
+ * Decides which groups of pieces are rejected instead of waiting for an endpoint.
  *
- * <p>{@code admission.turnedAway(groupsInOrder, outlook, nowMs)}
+ * <p>{@code admission.rejected(groupsInOrder, context, nowMs)}
  *
  * @since 0.5
  */
 public interface PoolAdmission {
     /**
-     * Returns the groups that can't be done while they are wanted.
+     * Returns the groups that can't finish while their results are useful.
      *
-     * @param inOrder groups that wait, the first to go first
-     * @param outlook what is known of the pool
+     * @param inOrder waiting groups, in the order in which they are served
+     * @param context forecast and load of the pool
      * @param nowMs monotonic clock, in ms
-     * @return those to turn away, and when to come back
+     * @return the groups to reject, each with the time after which to retry
      */
-    List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext outlook, long nowMs);
+    List<RejectedGroup> rejected(List<PieceGroup> inOrder, AdmissionContext context, long nowMs);
 
     /**
-     * A group that is turned away.
+     * A rejected group.
      *
      * @param group the group
-     * @param againMs time until there is likely room, in ms
+     * @param retryAfterMs time until a retry is likely to be accepted, in ms
      */
     record RejectedGroup(PieceGroup group, long retryAfterMs) {}
 
-    /** Everything waits until its time is over; the baseline. */
-    PoolAdmission ACCEPT_ALL = (inOrder, outlook, nowMs) -> List.of();
+    /** Rejects nothing: every group waits until its deadline; the baseline. */
+    PoolAdmission ACCEPT_ALL = (inOrder, context, nowMs) -> List.of();
 
-    /** Turns away at once what would not be done when its time is over, so late answers are made as long as they may be. */
+    /** Rejects groups that would finish after their deadline; groups that only miss their target are still served. */
     PoolAdmission UNTIL_DEADLINE =
-            new ForecastAdmission((group, outlook) -> group.urgency().deadlineAtMs());
+            new ForecastAdmission((group, context) -> group.urgency().deadlineAtMs());
 
     /**
-     * Turns away at once what would be late, while more work arrives than the pool can do: a late answer is worth little to its
-     * caller, who may come back, and the calls that it takes make others late. A pool that keeps up makes late answers, too, and
-     * what other stages were done for is not given up for being late.
+     * Rejects groups that would miss their target while more work arrives than the pool can do, and groups that would
+     * miss their deadline at any time. A late response is worth little to its caller, who may retry, and its calls make
+     * other requests late. A pool that is not overloaded still serves late groups, and a group that reads results of
+     * earlier stages is not rejected for missing its target.
      */
     PoolAdmission UNTIL_TARGET_UNDER_OVERLOAD =
-            new ForecastAdmission((group, outlook) -> outlook.load() > 1 && !group.hasPredecessors()
+            new ForecastAdmission((group, context) -> context.load() > 1 && !group.hasPredecessors()
                     ? group.urgency().targetAtMs()
                     : group.urgency().deadlineAtMs());
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolCall.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolCall.java
@@ -14,18 +14,18 @@
 import org.wingstall.relay.wire.ResponseHead;
 import org.wingstall.schema.check.InvalidDocumentException;
 
-/** One call for pieces at one endpoint. Confined to the request loop. */
+/** Sends one batch of pieces to one endpoint and handles its response. Confined to the request loop. */
 final class PoolCall {
     private static final Logger LOG = LogManager.getLogger(PoolCall.class);
     private static final int OK = 200;
 
-    /** FleetBudget of its expected time from which a call is overdue; endpoints of a service differ by less. */
+    /** Factor on the expected duration after which a call is overdue; endpoints of a service differ by less. */
     private static final double OVERDUE_FACTOR = 1.25;
 
-    /** Time beyond that, in ms: the way there and back beside a packet that is late. */
+    /** Additional time until a call is overdue, in ms: covers a network round trip with a delayed packet. */
     private static final long OVERDUE_MARGIN_MS = 40;
 
-    /** Pause between two questions to an endpoint that lives but has not answered the call, in ms. */
+    /** Delay between two state queries to an endpoint that answers them but has not answered the call, in ms. */
     private static final long RECHECK_DELAY_MS = 300;
 
     private final PoolContext context;
@@ -33,26 +33,26 @@
     private final ResultCapacityTracker capacity;
     private final RelayEndpoint endpoint;
     private final PoolSpec spec;
-    private final List<PieceTask> tickets;
+    private final List<PieceTask> tasks;
     private final long startedMs;
     private final double expectedMs;
     private boolean closed;
 
     PoolCall(
-            PoolContext parts,
+            PoolContext context,
             StagePool pool,
-            ResultCapacityTracker ledger,
+            ResultCapacityTracker capacity,
             RelayEndpoint endpoint,
             PoolSpec spec,
-            List<PieceTask> tickets) {
-        this.context = parts;
+            List<PieceTask> tasks) {
+        this.context = context;
         this.pool = pool;
-        this.capacity = ledger;
+        this.capacity = capacity;
         this.endpoint = endpoint;
         this.spec = spec;
-        this.tickets = tickets;
-        this.startedMs = parts.clock().nowMs();
-        this.expectedMs = pool.callMs(spec, tickets.size());
+        this.tasks = tasks;
+        this.startedMs = context.clock().nowMs();
+        this.expectedMs = pool.callMs(spec, tasks.size());
     }
 
     RelayEndpoint endpoint() {
@@ -63,7 +63,10 @@
         return endpoint.id();
     }
 
-    /** Returns when the call is likely over, in ms of the monotonic clock; one that is overdue as much later again. */
+    /**
+     * Returns the expected end of the call, in ms of the monotonic clock. An overdue call is expected to take as long
+     * again as it is overdue by now.
+     */
     long expectedEndAtMs(long nowMs) {
         long endAtMs = startedMs + Math.round(expectedMs);
         return endAtMs > nowMs ? endAtMs : nowMs + (nowMs - endAtMs);
@@ -71,13 +74,13 @@
 
     void begin() {
         endpoint.state().tryAcquire(Integer.MAX_VALUE);
-        for (PieceTask ticket : tickets) {
-            ticket.countCall();
-            capacity.reserve(endpoint.key(), ticket.placement().resultBytes());
+        for (PieceTask task : tasks) {
+            task.countCall();
+            capacity.reserve(endpoint.key(), task.placement().resultBytes());
         }
-        var pieces = tickets.stream().map(PieceTask::piece).toList();
-        var remainingMs = tickets.stream()
-                .map(ticket -> Math.max(1, ticket.urgency().deadlineAtMs() - startedMs))
+        var pieces = tasks.stream().map(PieceTask::piece).toList();
+        var remainingMs = tasks.stream()
+                .map(task -> Math.max(1, task.urgency().deadlineAtMs() - startedMs))
                 .toList();
         context.client()
                 .call(
@@ -88,7 +91,7 @@
         scheduleCheck(Math.round(OVERDUE_FACTOR * expectedMs) + OVERDUE_MARGIN_MS);
     }
 
-    /** Asks an endpoint whose call is overdue whether it lives: one that stopped is found out in half the time. */
+    /** Schedules a state query to the endpoint of an overdue call: it detects a stopped endpoint in half the time. */
     private void scheduleCheck(long delayMs) {
         context.loop().schedule(this::check, delayMs, TimeUnit.MILLISECONDS);
     }
@@ -107,7 +110,7 @@
         }
     }
 
-    /** Gives the call up because its endpoint fell silent; its pieces are made elsewhere. */
+    /** Abandons the call because its endpoint became unresponsive; its pieces are retried. */
     void abandon() {
         if (!closed) {
             end();
@@ -119,8 +122,7 @@
     private void end() {
         closed = true;
         endpoint.state().release();
-        tickets.forEach(
-                ticket -> capacity.release(endpoint.key(), ticket.placement().resultBytes()));
+        tasks.forEach(task -> capacity.release(endpoint.key(), task.placement().resultBytes()));
     }
 
     private void ended(HttpReply reply, Throwable failure) {
@@ -130,7 +132,7 @@
         }
         end();
         if (failure != null) {
-            pool.quarantine().callLost(tickets, endpoint, failure);
+            pool.quarantine().callLost(tasks, endpoint, failure);
             unanswered(failure.getMessage());
         } else {
             answered(reply);
@@ -138,7 +140,7 @@
         pool.callEnded(this);
     }
 
-    /** Results of a call that was given up are of no use any more. */
+    /** Frees the results of an abandoned call, which nothing reads. */
     private void freeLateResults(HttpReply reply) {
         if (reply == null || reply.status() != OK) {
             return;
@@ -166,15 +168,15 @@
         pool.timeouts().recordLoss();
         LogEvent.warn("stage-call-lost")
                 .with("endpoint", endpoint.id())
-                .with("pieces", tickets.size())
+                .with("pieces", tasks.size())
                 .with("afterMs", context.clock().nowMs() - startedMs)
                 .with("detail", detail)
                 .to(LOG);
-        pool.retry(tickets, PieceResult.Failure.UNANSWERED);
+        pool.retry(tasks, PieceResult.Failure.UNANSWERED);
     }
 
     private void answered(HttpReply reply) {
-        pool.recordCallTime(spec, tickets.size(), context.clock().nowMs() - startedMs);
+        pool.recordCallTime(spec, tasks.size(), context.clock().nowMs() - startedMs);
         ResponseHead head = context.endpointProtocol().responseHead(reply.status(), reply.headers());
         head.load().ifPresent(endpoint.state()::recordReportedLoad);
         context.limitReader().readLimit(endpoint, head, startedMs);
@@ -182,15 +184,15 @@
             context.endpoints().markLeaving(endpoint, "another endpoint stands at its address");
         }
         if (reply.status() != OK) {
-            pool.retry(tickets, head.notExecuted() ? PieceResult.Failure.NO_ROOM : PieceResult.Failure.ERROR);
+            pool.retry(tasks, head.notExecuted() ? PieceResult.Failure.NO_ROOM : PieceResult.Failure.ERROR);
             return;
         }
         try {
             List<PieceResult> results = context.endpointProtocol().pieceResults(reply.body());
-            if (results.size() == tickets.size()) {
+            if (results.size() == tasks.size()) {
                 take(results);
             } else {
-                unanswered(results.size() + " results for " + tickets.size() + " pieces");
+                unanswered(results.size() + " results for " + tasks.size() + " pieces");
             }
         } catch (InvalidDocumentException e) {
             unanswered(e.getMessage());
@@ -199,36 +201,36 @@
 
     private void take(List<PieceResult> results) {
         endpoint.recordAnswer(context.clock().nowMs() - startedMs);
-        List<PieceTask> withoutRoom = new ArrayList<>();
+        List<PieceTask> withoutCapacity = new ArrayList<>();
         List<PieceTask> failed = new ArrayList<>();
         for (int i = 0; i < results.size(); i++) {
             PieceResult result = results.get(i);
-            PieceTask ticket = tickets.get(i);
+            PieceTask task = tasks.get(i);
             if (result.failure() == PieceResult.Failure.NO_ROOM) {
-                withoutRoom.add(ticket);
+                withoutCapacity.add(task);
             } else if (result.failure() == PieceResult.Failure.ERROR) {
-                failed.add(ticket);
+                failed.add(task);
             } else {
-                end(ticket, result);
+                end(task, result);
             }
         }
-        if (!withoutRoom.isEmpty()) {
-            pool.rejectedForRoom(endpoint, withoutRoom);
+        if (!withoutCapacity.isEmpty()) {
+            pool.requeueWithoutCapacity(endpoint, withoutCapacity);
         }
         if (!failed.isEmpty()) {
             pool.retry(failed, PieceResult.Failure.ERROR);
         }
     }
 
-    private void end(PieceTask ticket, PieceResult result) {
+    private void end(PieceTask task, PieceResult result) {
         if (!result.success()) {
-            ticket.complete(PieceOutcome.failed(result.failure()));
+            task.complete(PieceOutcome.failed(result.failure()));
             return;
         }
-        pool.quarantine().pieceSucceeded(ticket, endpoint, startedMs);
-        long bytes = ticket.placement().resultBytes();
+        pool.quarantine().pieceSucceeded(task, endpoint, startedMs);
+        long bytes = task.placement().resultBytes();
         capacity.reserve(endpoint.key(), bytes);
         capacity.stored(endpoint.key(), bytes, result.handle(), spec.resultTtlMs());
-        ticket.complete(PieceOutcome.success(result, endpoint.state().address(), null));
+        task.complete(PieceOutcome.success(result, endpoint.state().address(), null));
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolContext.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolContext.java
@@ -14,7 +14,7 @@
 import org.wingstall.relay.wire.EndpointProtocol;
 
 /**
- * What the pools of all services share.
+ * The dependencies that the pools of all services share.
  *
  * <p>{@code new StagePools(new PoolContext(loop, clock, client, wire, reports, endpoints, limits, config, budgets,
  * quarantine, PoolPolicies.STANDARD))}
@@ -22,15 +22,15 @@
  * @param loop the request loop
  * @param clock monotonic clock
  * @param client HTTP client
- * @param wire how endpoints are spoken to
- * @param reports asks endpoints for their state
+ * @param endpointProtocol encodes calls to endpoints and decodes their responses
+ * @param stateQueries queries endpoints for their state
  * @param endpoints the endpoints
- * @param limits bounds requests to endpoints with reduced capacity
- * @param answers reads the limits that answers state
+ * @param limits limits requests to endpoints with reduced capacity
+ * @param limitReader reads the limits that responses advertise
  * @param config the configuration in force
  * @param budgets retry budgets of the services
- * @param quarantine holds back pieces that crash endpoints
- * @param policies the decisions
+ * @param quarantine refuses pieces that crash endpoints
+ * @param policies order, admission and planning of calls
  * @since 0.2
  */
 public record PoolContext(
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolForecast.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolForecast.java
@@ -6,24 +6,25 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * Says when groups that wait would be done, if nothing else came: calls are filled in the given order, and each goes to the
- * slot that is free first.
+ * Forecasts when waiting groups finish if no others arrive: calls are filled in the given order, and each is sent to
+ * the slot that is free first.
  *
- * <p>{@code List<Long> ends = new PoolForecast(List.of(0L, 120L), 7, pieces -> 200 + 24 * pieces).endsAtMs(List.of(3, 5));}
+ * <p>{@code List<Long> ends = new PoolForecast(List.of(0L, 120L), 7, pieces -> 200 + 24 * pieces).endsAtMs(List.of(3,
+ * 5));}
  *
- * @param slotsFreeAtMs when each slot of the serving endpoints is free, in ms of the monotonic clock
- * @param batch most pieces in a call
- * @param callMs time of a call with so many pieces, in ms
+ * @param slotsFreeAtMs when each slot of the endpoints that can be called is free, in ms of the monotonic clock
+ * @param batch maximum pieces in a call
+ * @param callMs expected duration of a call with a given number of pieces, in ms
  * @since 0.5
  */
 public record PoolForecast(List<Long> slotsFreeAtMs, int batch, IntToDoubleFunction callMs) {
-    /** An end that never comes. */
+    /** The end of a group that never finishes. */
     public static final long NEVER = Long.MAX_VALUE;
 
     /**
-     * Returns when each group is done.
+     * Returns when each group finishes.
      *
-     * @param sizes pieces of each group, the first to go first; a group may be split over calls
+     * @param sizes pieces of each group, in the order in which they are served; a group may be split over calls
      * @return the ends, in the same order, in ms of the monotonic clock; {@link #NEVER} without slots
      */
     public List<Long> endsAtMs(List<Integer> sizes) {
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolLoad.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolLoad.java
@@ -2,9 +2,9 @@
 
 import org.wingstall.core.time.MonotonicClock;
 
-/** How much work arrives at a pool, against what it can do. Confined to the request loop. */
+/** Measures the work that arrives at a pool, relative to what the pool can do. Confined to the request loop. */
 final class PoolLoad {
-    /** Time over which arrivals are averaged, in ms: several calls long, and shorter than a burst. */
+    /** Time constant of the moving average of arrivals, in ms: several calls long, and shorter than a burst. */
     private static final double TIME_CONSTANT_MS = 1500;
 
     private final MonotonicClock clock;
@@ -16,13 +16,13 @@
         this.asOfMs = clock.nowMs();
     }
 
-    /** Records work that came, in ms of one slot. */
+    /** Records work that arrived, in ms of slot time. */
     void recordArrival(double workMs) {
         decay();
         workMsPerMs += workMs / TIME_CONSTANT_MS;
     }
 
-    /** Returns the work that arrives for each unit that so many slots can do. */
+    /** Returns the ratio of arriving work to what the given number of slots can do; 1 when both are equal. */
     double relativeTo(int slots) {
         decay();
         return slots == 0 ? Double.MAX_VALUE : workMsPerMs / slots;
--- a/relay/src/main/java/org/wingstall/relay/pool/PoolSnapshot.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PoolSnapshot.java
@@ -10,19 +10,19 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
 /**
- * The endpoints that serve a pool at one moment, as the policies see them. Read once for a turn in which several calls may
- * be planned. Confined to the request loop.
+ * A snapshot of the endpoints that can be called, as the policies see them. Taken once for each dispatch, in which
+ * several calls may be planned. Confined to the request loop.
  *
- * <p>{@code PoolSnapshot now = new PoolSnapshot(spec, serving, ledger, nowMs); planner.next(groups, now.makers(random), spec, nowMs)}
+ * <p>{@code new PoolSnapshot(spec, serving, capacity, nowMs).capacities(open, random)}
  *
- * @param spec what an endpoint can do
- * @param serving endpoints that may get work, at least one
- * @param ledger room for results
+ * @param spec call times and limits of the endpoints
+ * @param serving endpoints that can be called, at least one
+ * @param capacity free result capacity of the endpoints
  * @param nowMs monotonic clock, in ms
  */
 record PoolSnapshot(PoolSpec spec, List<RelayEndpoint> serving, ResultCapacityTracker capacity, long nowMs) {
 
-    /** Returns endpoints with the slots and room that are left after the calls planned so far. */
+    /** Returns the slots and result capacity of endpoints that are left after the calls planned so far. */
     List<CallPlanner.EndpointCapacity> capacities(List<RelayEndpoint> open, RandomGenerator random) {
         return open.stream().map(endpoint -> capacityOf(endpoint, random)).toList();
     }
@@ -37,14 +37,14 @@
     }
 
     /** Returns the endpoint of a planned call. */
-    RelayEndpoint endpointOf(CallPlanner.EndpointCapacity maker) {
+    RelayEndpoint endpointOf(CallPlanner.EndpointCapacity planned) {
         return serving.stream()
-                .filter(endpoint -> endpoint.id().equals(maker.endpointId()))
+                .filter(endpoint -> endpoint.id().equals(planned.endpointId()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Returns when an endpoint surely has room for a group, in ms of the monotonic clock. */
+    /** Returns when the first endpoint has result capacity for a group, in ms of the monotonic clock. */
     long capacityAtMs(PieceGroup group) {
         return serving.stream()
                 .mapToLong(endpoint ->
@@ -53,11 +53,14 @@
                 .orElse(nowMs);
     }
 
-    /** Calls that are over when they should be still hold their slot for as long again, as far as anyone knows. */
-    PoolForecast forecast(Collection<PoolCall> underWay, CallTimeEstimator times) {
+    /**
+     * Returns a forecast of the free slots; an overdue call is expected to hold its slot as long again as it is
+     * overdue.
+     */
+    PoolForecast forecast(Collection<PoolCall> activeCalls, CallTimeEstimator times) {
         Set<String> ids = serving.stream().map(RelayEndpoint::id).collect(Collectors.toSet());
         List<Long> freeAtMs = new ArrayList<>();
-        for (PoolCall call : underWay) {
+        for (PoolCall call : activeCalls) {
             if (ids.contains(call.endpointId())) {
                 freeAtMs.add(call.expectedEndAtMs(nowMs));
             }
--- a/relay/src/main/java/org/wingstall/relay/pool/RendezvousCoordinatorSelector.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/RendezvousCoordinatorSelector.java
@@ -7,8 +7,8 @@
 import org.wingstall.core.peer.RendezvousHash;
 
 /**
- * Chooses the gathering box of a service by rendezvous hashing over the boxes that are heard; boxes with other views may
- * choose others for a while, which costs fuller calls and nothing else.
+ * Selects the coordinator of a service by rendezvous hashing over the reachable hubs. Boxes with different views may
+ * select different coordinators for a while; the only cost is that calls carry fewer pieces.
  *
  * <p>{@code new RendezvousCoordinatorSelector("kgn-a-1", () -> peers.serving(), mesh::linked)}
  *
@@ -21,19 +21,19 @@
     private final Predicate<String> isHub;
 
     /**
-     * Creates the choice.
+     * Creates a selector.
      *
      * @param self this box
-     * @param heard other boxes that are heard and not stopping
+     * @param reachable other boxes that are reachable and not stopping
      * @param linked whether there is a link to a box
-     * @param carries whether a box does work for others
+     * @param eligible whether a box is a hub, which does work for other boxes
      */
     public RendezvousCoordinatorSelector(
-            String self, Supplier<List<String>> heard, Predicate<String> linked, Predicate<String> carries) {
+            String self, Supplier<List<String>> reachable, Predicate<String> linked, Predicate<String> eligible) {
         this.self = self;
-        this.reachable = heard;
+        this.reachable = reachable;
         this.linked = linked;
-        this.isHub = carries;
+        this.isHub = eligible;
     }
 
     @Override
@@ -41,8 +41,8 @@
         List<String> boxes = new ArrayList<>(reachable.get());
         boxes.removeIf(box -> !linked.test(box));
         boxes.add(self);
-        List<String> carriers = boxes.stream().filter(isHub).toList();
-        boxes = carriers.isEmpty() ? List.of(self) : carriers;
+        List<String> eligibleBoxes = boxes.stream().filter(isHub).toList();
+        boxes = eligibleBoxes.isEmpty() ? List.of(self) : eligibleBoxes;
         String chosen = RendezvousHash.top("pieces:" + service, boxes, 1).get(0);
         return chosen.equals(self) ? null : chosen;
     }
--- a/relay/src/main/java/org/wingstall/relay/pool/ResultCapacityTracker.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ResultCapacityTracker.java
@@ -8,13 +8,13 @@
 import org.wingstall.relay.config.PoolSpec;
 
 /**
- * Counts the room that results take at the endpoints for which this box gathers pieces: from the call on, until they are
- * given up or their maker drops them. Confined to the request loop.
+ * Tracks the free result capacity of the endpoints that this box calls: a result counts from the start of its call
+ * until it is freed or expires at its endpoint. Confined to the request loop.
  */
 final class ResultCapacityTracker {
     /**
-     * Time for which an endpoint that had no room counts as full, in ms: what it holds that this box did not count, such as
-     * results that another box gathered before, is given up about a call later.
+     * Time for which an endpoint that rejected a result for lack of capacity counts as full, in ms: results that this
+     * box has not counted, such as those of an earlier coordinator, are freed about the time of one call later.
      */
     private static final long FULL_MS = 300;
 
@@ -26,33 +26,35 @@
 
     private record StoredResult(String endpointId, double bytes, long untilMs) {}
 
-    /** An endpoint that had no room for a result of some size. */
+    /** An endpoint without capacity for a result of the given size. */
     private record FullMark(double bytes, long untilMs) {}
 
-    /** Results that stand at an endpoint and were not made through this box in this life; they lapse by a time. */
+    /**
+     * Results stored at an endpoint that this box has not requested since it started; they expire by the given time.
+     */
     private record UncountedResults(double bytes, long untilMs) {}
 
     ResultCapacityTracker(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** Returns the bytes that are free at an endpoint, as far as this box knows. */
-    double freeBytes(String endpointId, double roomBytes) {
+    /** Returns the free bytes at an endpoint, as far as this box knows. */
+    double freeBytes(String endpointId, double capacityBytes) {
         long nowMs = clock.nowMs();
-        double freeBytes = roomBytes - usedBytes(endpointId) - uncountedBytes(endpointId, nowMs);
+        double freeBytes = capacityBytes - usedBytes(endpointId) - uncountedBytes(endpointId, nowMs);
         FullMark mark = full.get(endpointId);
         boolean marked = mark != null && mark.untilMs() > nowMs;
         return marked ? Math.min(freeBytes, mark.bytes() - 1) : freeBytes;
     }
 
-    /** Records that an endpoint had no room for a result, whatever this box has counted; smaller ones may still fit. */
+    /** Marks an endpoint as full for results of the given size, whatever this box has counted; smaller ones may fit. */
     void markFull(String endpointId, double bytes) {
         full.put(endpointId, new FullMark(bytes, clock.nowMs() + FULL_MS));
     }
 
     /**
-     * Records the room that an endpoint says is free, before this box sent it anything: what is missing was not counted,
-     * and lapses within a result's life.
+     * Records the free bytes that an endpoint reports before this box has sent it any pieces. All used bytes belong to
+     * uncounted results, which expire within the TTL of a result.
      *
      * @return bytes of results that were not counted
      */
@@ -63,8 +65,8 @@
     }
 
     /**
-     * Records the room that an endpoint says is free later on. Such reports lag, so results that this box has just given
-     * up may stand in them still: they only ever lessen what counts as uncounted.
+     * Records the free bytes that an endpoint reports later on. Such reports lag and may still include results that
+     * this box has just freed, so they can only lower the number of uncounted bytes.
      *
      * @return bytes of results that were not counted
      */
@@ -79,10 +81,10 @@
         return bytes;
     }
 
-    /** Returns when results of a size surely have room that is taken by uncounted ones now, in ms of the clock. */
-    long capacityAtMs(String endpointId, double roomBytes, double neededBytes) {
+    /** Returns when results of a size no longer compete with uncounted results for capacity, in ms of the clock. */
+    long capacityAtMs(String endpointId, double capacityBytes, double neededBytes) {
         long nowMs = clock.nowMs();
-        boolean blocked = roomBytes - uncountedBytes(endpointId, nowMs) < neededBytes;
+        boolean blocked = capacityBytes - uncountedBytes(endpointId, nowMs) < neededBytes;
         return blocked ? uncounted.get(endpointId).untilMs() : nowMs;
     }
 
@@ -96,22 +98,22 @@
         return usedBytes.getOrDefault(endpointId, 0.0);
     }
 
-    /** Takes room for the result of a piece that goes to work. */
+    /** Reserves capacity for the result of a piece that is sent to an endpoint. */
     void reserve(String endpointId, double bytes) {
         usedBytes.merge(endpointId, bytes, Double::sum);
     }
 
-    /** Gives room back that was taken for a piece without a result. */
+    /** Releases the capacity that was reserved for a piece. */
     void release(String endpointId, double bytes) {
         usedBytes.merge(endpointId, -bytes, Double::sum);
     }
 
-    /** Turns room that was taken for a piece into that of its result. */
-    void stored(String endpointId, double bytes, String handle, long lifeMs) {
-        storedByHandle.put(handle, new StoredResult(endpointId, bytes, clock.nowMs() + lifeMs));
+    /** Assigns reserved capacity to a stored result, until it is freed or its TTL ends. */
+    void stored(String endpointId, double bytes, String handle, long ttlMs) {
+        storedByHandle.put(handle, new StoredResult(endpointId, bytes, clock.nowMs() + ttlMs));
     }
 
-    /** Gives a result's room back. */
+    /** Releases the capacity of a result that was freed. */
     void freed(String handle) {
         StoredResult result = storedByHandle.remove(handle);
         if (result != null) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Results are kept in the order in which they were made, so the oldest come first. */
+    /** Removes expired results; the map is in the order of insertion, so the oldest come first. */
     private void dropExpired() {
         long nowMs = clock.nowMs();
         Iterator<StoredResult> oldest = storedByHandle.values().iterator();
--- a/relay/src/main/java/org/wingstall/relay/pool/ResultFreer.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/ResultFreer.java
@@ -18,16 +18,19 @@
 import org.wingstall.schema.peer.StageFreed;
 
 /**
- * Gives results up, many in a call: by way of the box that gathered their pieces, since it counts the room, else at their
- * makers. Confined to the request loop.
+ * Frees results that are no longer needed, many in a call: through the coordinator of their pieces, which tracks the
+ * result capacity, or else directly at their endpoints. Confined to the request loop.
  */
 final class ResultFreer {
     private static final Logger LOG = LogManager.getLogger(ResultFreer.class);
 
-    /** Time for which results to give up are gathered, in ms; short against the 150 ms of the shortest call. */
+    /**
+     * Time over which results to free are collected into one call, in ms; short compared with the shortest call, 150
+     * ms.
+     */
     private static final long BATCH_DELAY_MS = 10;
 
-    /** Longest wait for the answer, in ms; a result that stays is dropped by its maker after some seconds. */
+    /** Timeout of a call, in ms; a result that is not freed expires at its endpoint after some seconds. */
     private static final long TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
@@ -38,7 +41,7 @@
     private final Predicate<InetSocketAddress> rateLimited;
     private final Map<ResultLocation, List<String>> pending = new HashMap<>();
 
-    /** Where results lie, and the box to tell; null for this one. */
+    /** The endpoint that stores results, and the coordinator of their pieces; null for this box. */
     private record ResultLocation(InetSocketAddress endpointAddress, String coordinator) {}
 
     /**
@@ -46,35 +49,35 @@
      *
      * @param loop the request loop
      * @param client HTTP client
-     * @param wire how endpoints are spoken to
-     * @param links links to the boxes that gather pieces
-     * @param ledger room for results
-     * @param spared whether a maker is not called, since it states a limit
+     * @param protocol encodes calls to endpoints
+     * @param links links to coordinators
+     * @param capacity free result capacity of the endpoints
+     * @param rateLimited whether an endpoint advertises a limit, and so is not called
      */
     ResultFreer(
             EventLoop loop,
             HttpClient client,
-            EndpointProtocol wire,
+            EndpointProtocol protocol,
             PieceLinks links,
-            ResultCapacityTracker ledger,
-            Predicate<InetSocketAddress> spared) {
-        this.rateLimited = spared;
+            ResultCapacityTracker capacity,
+            Predicate<InetSocketAddress> rateLimited) {
+        this.rateLimited = rateLimited;
         this.loop = loop;
         this.client = client;
-        this.endpointProtocol = wire;
+        this.endpointProtocol = protocol;
         this.links = links;
-        this.capacity = ledger;
+        this.capacity = capacity;
     }
 
-    void free(PieceOutcome made) {
-        if (made.endpointAddress() != null) {
+    void free(PieceOutcome outcome) {
+        if (outcome.endpointAddress() != null) {
             add(
-                    new ResultLocation(made.endpointAddress(), made.coordinator()),
-                    made.result().handle());
+                    new ResultLocation(outcome.endpointAddress(), outcome.coordinator()),
+                    outcome.result().handle());
         }
     }
 
-    /** Gives up what a peer has no use for any more. */
+    /** Frees results that a peer no longer needs. */
     void free(StageFreed freed) {
         ResultLocation holder = new ResultLocation(Addresses.parse(freed.getMaker()), null);
         freed.getHandles().forEach(handle -> add(holder, handle));
@@ -88,9 +91,9 @@
     }
 
     private void send() {
-        Map<ResultLocation, List<String>> now = Map.copyOf(pending);
+        Map<ResultLocation, List<String>> batch = Map.copyOf(pending);
         pending.clear();
-        now.forEach((holder, handles) -> {
+        batch.forEach((holder, handles) -> {
             if (holder.coordinator() == null || !links.tellFreed(holder.coordinator(), encode(holder, handles))) {
                 freeAtEndpoint(holder.endpointAddress(), handles);
             }
@@ -101,18 +104,18 @@
         return new StageFreed(Addresses.format(holder.endpointAddress()), handles);
     }
 
-    private void freeAtEndpoint(InetSocketAddress maker, List<String> handles) {
-        if (rateLimited.test(maker)) {
-            // The results lapse by themselves, and the room stays counted until then.
+    private void freeAtEndpoint(InetSocketAddress endpoint, List<String> handles) {
+        if (rateLimited.test(endpoint)) {
+            // The results expire at the endpoint, and count as used capacity until then.
             return;
         }
-        client.call(loop, endpointProtocol.free(maker, handles), TIMEOUT_MS)
+        client.call(loop, endpointProtocol.free(endpoint, handles), TIMEOUT_MS)
                 .whenCompleteAsync(
                         (reply, failure) -> {
                             handles.forEach(capacity::freed);
                             if (failure != null) {
                                 LogEvent.debug("results-not-freed")
-                                        .with("maker", maker)
+                                        .with("maker", endpoint)
                                         .with("results", handles.size())
                                         .cause(failure)
                                         .to(LOG);
--- a/relay/src/main/java/org/wingstall/relay/pool/RoomReports.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/RoomReports.java
@@ -14,35 +14,36 @@
 import org.wingstall.relay.wire.EndpointReport;
 
 /**
- * Learns of results that this box did not count, such as those that it had asked for before a restart, or of the box that gathered before: asks
- * endpoints for their free room, and again while such results stand. Confined to the request loop.
+ * Queries endpoints for their free result capacity, to find results that this box has not counted: those that it
+ * requested before a restart, or those of an earlier coordinator. Repeats the query while there are such results.
+ * Confined to the request loop.
  */
 final class RoomReports {
     private static final Logger LOG = LogManager.getLogger(RoomReports.class);
 
-    /** Pause until an endpoint with uncounted results is asked again, in ms; reports lag by some hundred ms. */
+    /** Delay before an endpoint with uncounted results is queried again, in ms; reports lag by some hundred ms. */
     private static final long QUERY_INTERVAL_MS = 250;
 
-    /** Least part of an endpoint's room that uncounted results take for it to be asked again. */
+    /** Minimum fraction of an endpoint's result capacity taken by uncounted results for it to be queried again. */
     private static final double MIN_UNCOUNTED_FRACTION = 0.02;
 
     private final EventLoop loop;
     private final StateQueries stateQueries;
     private final ResultCapacityTracker capacity;
 
-    RoomReports(EventLoop loop, StateQueries reports, ResultCapacityTracker ledger) {
+    RoomReports(EventLoop loop, StateQueries stateQueries, ResultCapacityTracker capacity) {
         this.loop = loop;
-        this.stateQueries = reports;
-        this.capacity = ledger;
+        this.stateQueries = stateQueries;
+        this.capacity = capacity;
     }
 
-    /** Asks endpoints to which this box has sent nothing for the life of a result. */
+    /** Queries endpoints that this box has sent no pieces for the TTL of a result. */
     void queryInitial(List<RelayEndpoint> endpoints, PoolSpec spec) {
         endpoints.forEach(endpoint -> query(endpoint, spec, true));
     }
 
     private void query(RelayEndpoint endpoint, PoolSpec spec, boolean first) {
-        // An endpoint that does not answer here is found out by its calls.
+        // No action without an answer: calls detect an unresponsive endpoint.
         stateQueries.query(
                 endpoint,
                 Purpose.FREE_ROOM,
--- a/relay/src/main/java/org/wingstall/relay/pool/StageGraph.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StageGraph.java
@@ -17,8 +17,8 @@
 import org.wingstall.relay.wire.RelayRequest;
 
 /**
- * The stages of one request: each begins when those that it reads are done, and results are given up as soon as their
- * last reader has them. Confined to the request loop.
+ * Runs the stages of one request: each stage starts when its predecessors are done, and the results of a stage are
+ * freed once all of its successors are done. Confined to the request loop.
  *
  * <p>{@code graph.begin(); ... graph.outputs(); ... graph.close();}
  *
@@ -35,20 +35,20 @@
     private boolean closed;
     private boolean complete;
 
-    /** Told how the stages end; at most one of the methods is called, once. */
+    /** Receives the end of the stages; at most one of the methods is called, once. */
     public interface StagesListener {
         /** All stages are done. */
         void stagesDone();
 
-        /** A stage has no result; there may be room for the request after a time, 0 when that is not known. */
-        void stageFailed(StageSpec stage, PieceResult.Failure failure, long againMs);
+        /** A stage failed; the request may be retried after the given time, 0 when that is not known. */
+        void stageFailed(StageSpec stage, PieceResult.Failure failure, long retryAfterMs);
     }
 
-    /** A stage under way; its pieces' ends come in any order. */
+    /** Tracks the pieces of one stage, which complete in any order. */
     private static final class StageProgress {
         private final StageSpec spec;
         private final PieceOutcome[] outcomes;
-        private final List<PieceTask> tickets = new ArrayList<>();
+        private final List<PieceTask> tasks = new ArrayList<>();
         private boolean started;
         private boolean resultsFreed;
         private int remaining;
@@ -65,7 +65,7 @@
             return remaining == 0;
         }
 
-        /** Returns what became of the stage so far, such as "stage 0 at 'pay-ledger': 2 of 2 pieces, 310 ms, by kgn-a-1". */
+        /** Returns the progress of the stage, such as "stage 0 at 'pay-ledger': 2 of 2 pieces, 310 ms, by kgn-a-1". */
         String progress(long nowMs) {
             String by = results()
                     .map(PieceOutcome::coordinator)
@@ -97,7 +97,7 @@
         this.listener = listener;
     }
 
-    /** Begins the stages that read no others. */
+    /** Starts the stages that have no predecessors. */
     public void begin() {
         for (StageSpec spec : specs) {
             stages.add(new StageProgress(spec, request.piecesOf(spec.index())));
@@ -105,7 +105,7 @@
         advance();
     }
 
-    /** Returns the results that the request itself reads: those of the stages that no other comes after. */
+    /** Returns the handles of the results that the request itself reads: those of the stages without successors. */
     public List<String> outputs() {
         List<String> handles = new ArrayList<>();
         for (StageProgress stage : stages) {
@@ -116,12 +116,13 @@
         return handles;
     }
 
-    /** Returns the failure domain where most of what the request itself reads lies. */
+    /** Returns the failure domain that stores most bytes of the results that the request itself reads. */
     public InputLocation outputLocation() {
         Map<String, Long> bytes = new HashMap<>();
         for (StageProgress stage : stages) {
             if (successors(stage).isEmpty()) {
-                stage.results().forEach(made -> bytes.merge(pools.domainOf(made), stage.spec.resultBytes(), Long::sum));
+                stage.results()
+                        .forEach(outcome -> bytes.merge(pools.domainOf(outcome), stage.spec.resultBytes(), Long::sum));
             }
         }
         return bytes.entrySet().stream()
@@ -130,7 +131,7 @@
                 .orElse(InputLocation.NONE);
     }
 
-    /** Returns how far each stage that has begun came, for the log. */
+    /** Returns the progress of each started stage, for the log. */
     public List<String> progress() {
         return stages.stream()
                 .filter(stage -> stage.started && stage.outcomes.length > 0)
@@ -138,14 +139,14 @@
                 .toList();
     }
 
-    /** Ends the stages: what waits is withdrawn, and all results are given up. */
+    /** Closes the graph: withdraws pieces that are not done and frees all results. */
     public void close() {
         if (closed) {
             return;
         }
         closed = true;
         for (StageProgress stage : stages) {
-            stage.tickets.forEach(PieceTask::withdraw);
+            stage.tasks.forEach(PieceTask::withdraw);
             freeResults(stage);
         }
         pools.withdrawn();
@@ -180,7 +181,7 @@
         stage.startedMs = pools.nowMs();
         List<String> inputs = predecessors(stage).stream()
                 .flatMap(StageProgress::results)
-                .map(made -> made.result().handle())
+                .map(outcome -> outcome.result().handle())
                 .toList();
         String key = inputs.isEmpty() ? request.pieceKey() : null;
         Urgency stageUrgency =
@@ -188,15 +189,15 @@
         PieceTask.Placement placement = placement(stage);
         for (int i = 0; i < stage.outcomes.length; i++) {
             Piece piece = new Piece(request.id(), stage.spec.index(), i, key, inputs, request.pieceKey());
-            stage.tickets.add(
-                    new PieceTask(piece, stageUrgency, placement, (ticket, made) -> ended(stage, ticket, made)));
+            stage.tasks.add(
+                    new PieceTask(piece, stageUrgency, placement, (task, outcome) -> ended(stage, task, outcome)));
         }
-        if (!stage.tickets.isEmpty()) {
-            pools.submit(stage.spec.service(), stage.tickets);
+        if (!stage.tasks.isEmpty()) {
+            pools.submit(stage.spec.service(), stage.tasks);
         }
     }
 
-    /** Returns where a stage's pieces save the most bytes between domains: where the inputs lie, or where the reader is. */
+    /** Returns the placement that transfers the fewest bytes between domains: near the inputs, or near the reader. */
     private PieceTask.Placement placement(StageProgress stage) {
         long resultBytes = stage.spec.resultBytes();
         long inputBytes = predecessors(stage).stream()
@@ -219,7 +220,7 @@
                 .orElse("");
     }
 
-    /** Returns the time that the stages after one take while their pools keep up, in ms. */
+    /** Returns the expected time of the longest chain of successors of a stage while no pool is overloaded, in ms. */
     private long successorsMs(StageProgress stage) {
         long longestMs = 0;
         for (StageProgress reader : successors(stage)) {
@@ -229,14 +230,14 @@
         return longestMs;
     }
 
-    private void ended(StageProgress stage, PieceTask ticket, PieceOutcome made) {
+    private void ended(StageProgress stage, PieceTask task, PieceOutcome outcome) {
         if (closed) {
-            pools.freer().free(made);
-        } else if (!made.result().success()) {
+            pools.freer().free(outcome);
+        } else if (!outcome.result().success()) {
             close();
-            listener.stageFailed(stage.spec, made.result().failure(), made.retryAfterMs());
+            listener.stageFailed(stage.spec, outcome.result().failure(), outcome.retryAfterMs());
         } else {
-            stage.outcomes[ticket.piece().index()] = made;
+            stage.outcomes[task.piece().index()] = outcome;
             stage.remaining--;
             if (stage.done()) {
                 stage.doneMs = pools.nowMs();
--- a/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
@@ -20,21 +20,22 @@
 import org.wingstall.relay.wire.PieceResult;
 
 /**
- * The pieces of one service that wait, and the calls that carry them to its endpoints. Confined to the request loop.
+ * Queues the pieces of one service and sends them to its endpoints in batched calls. Confined to the request loop.
  *
- * <p>While endpoints are busy pieces gather, so that a call carries pieces of many requests: a call costs much more than
- * a piece. What goes first, what is turned away and what a call carries is decided by the policies in {@link PoolContext}.
+ * <p>While all endpoints are busy, pieces queue up, so that the next call carries pieces of many requests: the fixed
+ * cost of a call is much higher than the cost of a piece. The policies in {@link PoolContext} decide the order of the
+ * pieces, which of them are rejected, and which share a call.
  */
 final class StagePool {
     private static final Logger LOG = LogManager.getLogger(StagePool.class);
 
-    /** Calls that a piece may be part of; a piece may be made again, and the retry budget bounds the second and third. */
+    /** Maximum calls for one piece. Pieces are safe to repeat; the retry budget limits the second and third call. */
     private static final int MAX_CALLS = 3;
 
-    /** Pause before pieces that an endpoint turned away are offered again, in ms; short against a call. */
+    /** Delay before waiting pieces are dispatched again, in ms; short compared with a call. */
     private static final long DISPATCH_RETRY_MS = 15;
 
-    /** Lines a second about groups that are turned away; the requests' own lines tell the rest. */
+    /** Maximum log lines a second about rejected groups; each request writes its own log line as well. */
     private static final double MAX_REJECTION_LINES_PER_SECOND = 20;
 
     private final String service;
@@ -52,47 +53,49 @@
     private final TokenBucket rejectionLines;
     private boolean dispatchScheduled;
 
-    /** Until now another box may have gathered, whose results stand uncounted. */
+    /**
+     * Before this time another box may have been the coordinator; this box has not counted the results of its pieces.
+     */
     private long lastSubmittedAtMs = Long.MIN_VALUE / 2;
 
     StagePool(
             String service,
-            PoolContext parts,
-            ResultCapacityTracker ledger,
-            RoomReports room,
+            PoolContext context,
+            ResultCapacityTracker capacity,
+            RoomReports roomReports,
             ResultFreer freer,
             RandomGenerator random) {
         this.freer = freer;
         this.service = service;
-        this.context = parts;
-        this.capacity = ledger;
-        this.roomReports = room;
+        this.context = context;
+        this.capacity = capacity;
+        this.roomReports = roomReports;
         this.random = random;
-        this.pieceQuarantine = new PieceQuarantine(service, parts.quarantine());
-        this.load = new PoolLoad(parts.clock());
-        this.rejectionLines = new TokenBucket(parts.clock());
+        this.pieceQuarantine = new PieceQuarantine(service, context.quarantine());
+        this.load = new PoolLoad(context.clock());
+        this.rejectionLines = new TokenBucket(context.clock());
     }
 
-    /** Takes the pieces of one stage; each is told of its end, unless it was withdrawn before it was at work. */
-    void submit(List<PieceTask> tickets) {
+    /** Queues the pieces of one stage. Each task is completed, unless it is withdrawn before its call starts. */
+    void submit(List<PieceTask> tasks) {
         RetryBudget budget = context.budgets().of(service);
-        tickets.forEach(ticket -> budget.recordCall());
-        if (failIfQuarantined(tickets)) {
+        tasks.forEach(task -> budget.recordCall());
+        if (failIfQuarantined(tasks)) {
             return;
         }
-        spec().ifPresent(spec -> recordArrival(spec, tickets.size()));
-        waiting.add(group(tickets));
+        spec().ifPresent(spec -> recordArrival(spec, tasks.size()));
+        waiting.add(group(tasks));
         dispatch();
     }
 
-    /** One piece that is not made is enough for its request to have no answer. */
-    private boolean failIfQuarantined(List<PieceTask> tickets) {
-        Optional<QuarantineRefusal> hold = pieceQuarantine.hold(tickets);
-        hold.ifPresent(held -> tickets.stream()
-                .filter(ticket -> !ticket.withdrawn())
-                .forEach(ticket ->
-                        ticket.complete(PieceOutcome.failed(PieceResult.Failure.QUARANTINED, held.retryAfterMs()))));
-        return hold.isPresent();
+    /** Fails all pieces if one is quarantined: without its result the request can't be answered. */
+    private boolean failIfQuarantined(List<PieceTask> tasks) {
+        Optional<QuarantineRefusal> refusal = pieceQuarantine.hold(tasks);
+        refusal.ifPresent(quarantined -> tasks.stream()
+                .filter(task -> !task.withdrawn())
+                .forEach(task -> task.complete(
+                        PieceOutcome.failed(PieceResult.Failure.QUARANTINED, quarantined.retryAfterMs()))));
+        return refusal.isPresent();
     }
 
     PieceQuarantine quarantine() {
@@ -109,10 +112,10 @@
         }
     }
 
-    private PieceGroup group(List<PieceTask> tickets) {
-        double callMs = spec().map(spec -> callTimes.callMs(spec, Math.min(tickets.size(), spec.maxBatchSize())))
+    private PieceGroup group(List<PieceTask> tasks) {
+        double callMs = spec().map(spec -> callTimes.callMs(spec, Math.min(tasks.size(), spec.maxBatchSize())))
                 .orElse(0.0);
-        return new PieceGroup(tickets, context.clock().nowMs(), callMs, pieceQuarantine.anySuspected(tickets));
+        return new PieceGroup(tasks, context.clock().nowMs(), callMs, pieceQuarantine.anySuspected(tasks));
     }
 
     private Optional<PoolSpec> spec() {
@@ -123,13 +126,13 @@
         return timeouts;
     }
 
-    /** Records the time that a call took. */
+    /** Records the duration of an answered call. */
     void recordCallTime(PoolSpec spec, int pieces, long tookMs) {
         timeouts.recordAnswer(spec, pieces, tookMs);
         callTimes.record(spec, pieces, tookMs);
     }
 
-    /** Returns the time that a call is expected to take, in ms. */
+    /** Returns the expected duration of a call, in ms. */
     double callMs(PoolSpec spec, int pieces) {
         return callTimes.callMs(spec, pieces);
     }
@@ -140,17 +143,19 @@
                 spec, pieces, context.endpoints().ofService(service).size());
     }
 
-    /** Returns the pieces that wait. */
+    /** Returns the number of queued pieces. */
     int waiting() {
         return waiting.stream().mapToInt(PieceGroup::size).sum();
     }
 
-    /** Turns away what can't be done in time, and sends the rest to endpoints that have a free slot and room for results. */
+    /**
+     * Rejects groups that can't finish in time, and sends the others to endpoints with a free slot and result capacity.
+     */
     void dispatch() {
         dropExpired();
-        Optional<PoolSnapshot> now = snapshot();
-        now.ifPresent(this::reject);
-        sendAll(now);
+        Optional<PoolSnapshot> snapshot = snapshot();
+        snapshot.ifPresent(this::reject);
+        sendAll(snapshot);
     }
 
     private void dispatchWithoutAdmission() {
@@ -158,7 +163,7 @@
         sendAll(snapshot());
     }
 
-    /** Returns the pool as it is now; empty when no endpoint serves. */
+    /** Returns the current state of the pool; empty when no endpoint can be called. */
     private Optional<PoolSnapshot> snapshot() {
         List<RelayEndpoint> serving = serving();
         return serving.isEmpty()
@@ -167,49 +172,55 @@
                         spec, serving, capacity, context.clock().nowMs()));
     }
 
-    private void sendAll(Optional<PoolSnapshot> now) {
+    private void sendAll(Optional<PoolSnapshot> snapshot) {
         if (waiting.isEmpty()) {
             return;
         }
-        if (now.isEmpty()) {
+        if (snapshot.isEmpty()) {
             scheduleDispatchOrFail();
             return;
         }
-        send(now.get());
+        send(snapshot.get());
     }
 
-    /** The order holds for the whole turn; each call takes its groups out of it. */
-    private void send(PoolSnapshot now) {
-        List<PieceGroup> inOrder = new ArrayList<>(context.policies().order().sorted(waiting, now.nowMs()));
-        Optional<CallPlanner.PlannedCall> planned = plan(inOrder, now);
+    /** Sends as many calls as possible. The groups are sorted once; each call removes the groups that it carries. */
+    private void send(PoolSnapshot snapshot) {
+        List<PieceGroup> inOrder = new ArrayList<>(context.policies().order().sorted(waiting, snapshot.nowMs()));
+        Optional<CallPlanner.PlannedCall> planned = plan(inOrder, snapshot);
         while (planned.isPresent()) {
-            send(planned.get(), now);
+            send(planned.get(), snapshot);
             inOrder.removeIf(group -> group.size() == 0);
-            planned = plan(inOrder, now);
+            planned = plan(inOrder, snapshot);
         }
         if (!waiting.isEmpty()) {
             scheduleDispatch();
         }
     }
 
-    private Optional<CallPlanner.PlannedCall> plan(List<PieceGroup> inOrder, PoolSnapshot now) {
+    private Optional<CallPlanner.PlannedCall> plan(List<PieceGroup> inOrder, PoolSnapshot snapshot) {
         return inOrder.isEmpty()
                 ? Optional.empty()
                 : context.policies()
                         .planner()
-                        .planNext(inOrder, now.capacities(openEndpoints(now), random), now.spec(), now.nowMs());
+                        .planNext(
+                                inOrder,
+                                snapshot.capacities(openEndpoints(snapshot), random),
+                                snapshot.spec(),
+                                snapshot.nowMs());
     }
 
-    /** A call that was planned a moment ago may have used up what its endpoint takes. */
-    private List<RelayEndpoint> openEndpoints(PoolSnapshot now) {
-        return context.limits().withinLimits(now.serving(), SendLimits.SelectionMode.COORDINATOR);
+    /**
+     * Checks the rate limits again, since an earlier call of the same dispatch may have used up an endpoint's limit.
+     */
+    private List<RelayEndpoint> openEndpoints(PoolSnapshot snapshot) {
+        return context.limits().withinLimits(snapshot.serving(), SendLimits.SelectionMode.COORDINATOR);
     }
 
-    private void send(CallPlanner.PlannedCall planned, PoolSnapshot now) {
+    private void send(CallPlanner.PlannedCall planned, PoolSnapshot snapshot) {
         List<PieceTask> batch = new ArrayList<>();
         planned.parts().forEach(part -> batch.addAll(part.group().take(part.pieces())));
         waiting.removeIf(group -> group.size() == 0);
-        begin(new PoolCall(context, this, capacity, now.endpointOf(planned.endpoint()), now.spec(), batch));
+        begin(new PoolCall(context, this, capacity, snapshot.endpointOf(planned.endpoint()), snapshot.spec(), batch));
     }
 
     private void begin(PoolCall call) {
@@ -218,37 +229,38 @@
         call.begin();
     }
 
-    /** Records that a call is over. */
+    /** Removes a finished call and dispatches waiting pieces to the slot that it frees. */
     void callEnded(PoolCall call) {
         activeCalls.remove(call);
         dispatch();
     }
 
-    /** Has the work that an endpoint holds done elsewhere. */
+    /** Abandons all calls to an endpoint; their pieces are retried. */
     void abandon(RelayEndpoint endpoint) {
         List.copyOf(activeCalls).stream()
                 .filter(call -> call.endpointId().equals(endpoint.id()))
                 .forEach(PoolCall::abandon);
     }
 
-    void free(PieceOutcome made) {
-        freer.free(made);
+    void free(PieceOutcome outcome) {
+        freer.free(outcome);
     }
 
-    private void reject(PoolSnapshot now) {
+    private void reject(PoolSnapshot snapshot) {
         if (waiting.isEmpty()) {
             return;
         }
-        PoolForecast forecast = now.forecast(activeCalls, callTimes);
+        PoolForecast forecast = snapshot.forecast(activeCalls, callTimes);
         double loadNow = load.relativeTo(forecast.slotsFreeAtMs().size());
-        List<PieceGroup> inOrder = context.policies().order().sorted(waiting, now.nowMs());
-        AdmissionContext outlook = new AdmissionContext(forecast, now::capacityAtMs, loadNow);
-        List<PoolAdmission.RejectedGroup> away = context.policies().admission().rejected(inOrder, outlook, now.nowMs());
-        away.forEach(refused -> reject(refused, inOrder.size(), loadNow));
+        List<PieceGroup> inOrder = context.policies().order().sorted(waiting, snapshot.nowMs());
+        AdmissionContext admissionContext = new AdmissionContext(forecast, snapshot::capacityAtMs, loadNow);
+        List<PoolAdmission.RejectedGroup> rejectedGroups =
+                context.policies().admission().rejected(inOrder, admissionContext, snapshot.nowMs());
+        rejectedGroups.forEach(rejected -> reject(rejected, inOrder.size(), loadNow));
     }
 
-    private void reject(PoolAdmission.RejectedGroup refused, int groupsWaiting, double loadNow) {
-        PieceGroup group = refused.group();
+    private void reject(PoolAdmission.RejectedGroup rejected, int groupsWaiting, double loadNow) {
+        PieceGroup group = rejected.group();
         waiting.remove(group);
         if (rejectionLines.tryTake(MAX_REJECTION_LINES_PER_SECOND)) {
             LogEvent.info("pieces-turned-away")
@@ -260,24 +272,26 @@
                             group.urgency().deadlineAtMs() - context.clock().nowMs())
                     .with("groupsWaiting", groupsWaiting)
                     .with("load", loadNow)
-                    .with("againMs", refused.retryAfterMs())
+                    .with("againMs", rejected.retryAfterMs())
                     .to(LOG);
         }
-        fail(group, PieceOutcome.failed(PieceResult.Failure.NOT_IN_TIME, refused.retryAfterMs()));
+        fail(group, PieceOutcome.failed(PieceResult.Failure.NOT_IN_TIME, rejected.retryAfterMs()));
     }
 
-    /** Drops groups that were withdrawn, and ends those whose time is over. */
+    /** Removes withdrawn groups, and fails groups that are past their deadline. */
     private void dropExpired() {
         waiting.removeIf(group -> group.size() == 0);
         long nowMs = context.clock().nowMs();
-        List<PieceGroup> late = waiting.stream()
+        List<PieceGroup> expired = waiting.stream()
                 .filter(group -> group.urgency().deadlineAtMs() <= nowMs)
                 .toList();
-        waiting.removeAll(late);
-        late.forEach(group -> fail(group, PieceOutcome.failed(PieceResult.Failure.LATE)));
+        waiting.removeAll(expired);
+        expired.forEach(group -> fail(group, PieceOutcome.failed(PieceResult.Failure.LATE)));
     }
 
-    /** Endpoints that are only avoided for a while are waited for. */
+    /**
+     * Keeps pieces queued while an endpoint may become usable again; fails them when all endpoints are gone or leaving.
+     */
     private void scheduleDispatchOrFail() {
         boolean mayComeBack = context.endpoints().ofService(service).stream()
                 .anyMatch(endpoint -> !endpoint.state().leaving());
@@ -289,15 +303,15 @@
         }
     }
 
-    /** Rejects groups whose time ends before any endpoint may be sent one more call. */
+    /** Rejects groups whose deadline is before the rate limit of any endpoint allows another call. */
     private void rejectBeyondRateShare() {
-        long againMs = context.limits().retryAfterMs(usable(), SendLimits.SelectionMode.COORDINATOR);
-        long againAtMs = context.clock().nowMs() + againMs;
-        List<PieceGroup> hopeless = waiting.stream()
-                .filter(group -> againMs > 0 && group.urgency().deadlineAtMs() <= againAtMs)
+        long retryAfterMs = context.limits().retryAfterMs(usable(), SendLimits.SelectionMode.COORDINATOR);
+        long againAtMs = context.clock().nowMs() + retryAfterMs;
+        List<PieceGroup> unservable = waiting.stream()
+                .filter(group -> retryAfterMs > 0 && group.urgency().deadlineAtMs() <= againAtMs)
                 .toList();
-        waiting.removeAll(hopeless);
-        hopeless.forEach(group -> fail(group, PieceOutcome.failed(PieceResult.Failure.NOT_IN_TIME, againMs)));
+        waiting.removeAll(unservable);
+        unservable.forEach(group -> fail(group, PieceOutcome.failed(PieceResult.Failure.NOT_IN_TIME, retryAfterMs)));
     }
 
     private void failAll(PieceResult.Failure failure) {
@@ -307,9 +321,7 @@
     }
 
     private static void fail(PieceGroup group, PieceOutcome failed) {
-        group.take(Integer.MAX_VALUE).stream()
-                .filter(ticket -> !ticket.withdrawn())
-                .forEach(ticket -> ticket.complete(failed));
+        group.take(Integer.MAX_VALUE).stream().filter(task -> !task.withdrawn()).forEach(task -> task.complete(failed));
     }
 
     private List<RelayEndpoint> serving() {
@@ -322,44 +334,44 @@
                 .toList();
     }
 
-    /** Takes pieces back whose call ended without a result for them, and offers them again if that is allowed. */
-    void retry(List<PieceTask> tickets, PieceResult.Failure failure) {
+    /** Retries pieces whose call ended without a result, within the maximum number of calls and the retry budget. */
+    void retry(List<PieceTask> tasks, PieceResult.Failure failure) {
         List<PieceTask> back = new ArrayList<>();
-        for (PieceTask ticket : tickets) {
+        for (PieceTask task : tasks) {
             boolean allowed =
-                    ticket.calls() < MAX_CALLS && context.budgets().of(service).tryRetry();
-            if (ticket.withdrawn()) {
+                    task.calls() < MAX_CALLS && context.budgets().of(service).tryRetry();
+            if (task.withdrawn()) {
                 continue;
             }
             if (allowed) {
-                back.add(ticket);
+                back.add(task);
             } else {
-                ticket.complete(PieceOutcome.failed(failure));
+                task.complete(PieceOutcome.failed(failure));
             }
         }
         requeue(back);
         scheduleDispatch();
     }
 
-    /** Lets pieces wait again, those of one stage of a request together. */
-    private void requeue(List<PieceTask> tickets) {
-        tickets.stream().collect(Collectors.groupingBy(ticket -> ticket.piece().stageId())).values().stream()
-                .filter(ofStage -> !failIfQuarantined(ofStage))
-                .forEach(ofStage -> waiting.add(group(ofStage)));
+    /** Queues pieces again, grouped by stage and request. */
+    private void requeue(List<PieceTask> tasks) {
+        tasks.stream().collect(Collectors.groupingBy(task -> task.piece().stageId())).values().stream()
+                .filter(stageTasks -> !failIfQuarantined(stageTasks))
+                .forEach(stageTasks -> waiting.add(group(stageTasks)));
     }
 
     /**
-     * Takes pieces back that found no room. They wait for it until their time is over, however often they were offered: room
-     * comes with results that lapse, and no call was spent on them.
+     * Queues pieces again that an endpoint rejected for lack of result capacity. They wait until their deadline,
+     * however often they were rejected: capacity is freed when results expire, and the rejected call did no work.
      */
-    void rejectedForRoom(RelayEndpoint endpoint, List<PieceTask> tickets) {
-        double leastBytes = tickets.stream()
-                .mapToDouble(ticket -> ticket.placement().resultBytes())
+    void requeueWithoutCapacity(RelayEndpoint endpoint, List<PieceTask> tasks) {
+        double leastBytes = tasks.stream()
+                .mapToDouble(task -> task.placement().resultBytes())
                 .min()
                 .orElse(0);
         capacity.markFull(endpoint.key(), leastBytes);
-        tickets.forEach(PieceTask::uncountCall);
-        requeue(tickets.stream().filter(ticket -> !ticket.withdrawn()).toList());
+        tasks.forEach(PieceTask::uncountCall);
+        requeue(tasks.stream().filter(task -> !task.withdrawn()).toList());
         scheduleDispatch();
     }
 
--- a/relay/src/main/java/org/wingstall/relay/pool/StagePools.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StagePools.java
@@ -18,17 +18,20 @@
 import org.wingstall.schema.peer.StageWork;
 
 /**
- * The pools of all services whose endpoints do the work of stages. Confined to the request loop.
+ * Manages one {@link StagePool} for each service that runs stages, and delegates pieces to coordinators. Confined to
+ * the request loop.
  *
  * <p>{@code StageGraph graph = pools.graph(request, route, urgency, "kgn-a", listener); graph.begin();}
  *
  * @since 0.2
  */
 public final class StagePools implements PieceHost {
-    /** Pause between two looks at whether a box that gathers is heard, in ms; short against the shortest target. */
-    private static final long SILENCE_CHECK_MS = 100;
+    /**
+     * Interval of the check whether coordinators are reachable, in ms; short compared with the shortest latency target.
+     */
+    private static final long COORDINATOR_CHECK_MS = 100;
 
-    /** FleetBudget of a call without pieces for which a group waits until a slot is free, while the pool keeps up. */
+    /** Expected wait for a free slot while the pool is not overloaded, as a fraction of the fixed time of a call. */
     private static final double SLOT_WAIT_FRACTION = 0.5;
 
     private final PoolContext context;
@@ -43,50 +46,56 @@
     private final PeerPieces peerPieces;
 
     /**
-     * Creates pools without pieces.
+     * Creates empty pools.
      *
-     * @param parts what they share
+     * @param context shared dependencies
      * @param random breaks ties between endpoints
      * @param mesh links to other boxes
-     * @param gathering says which box gathers the pieces of a service
+     * @param coordinators selects the coordinator of a service
      */
-    public StagePools(PoolContext parts, RandomGenerator random, PeerMesh mesh, CoordinatorSelector coordinators) {
-        this.context = parts;
+    public StagePools(PoolContext context, RandomGenerator random, PeerMesh mesh, CoordinatorSelector coordinators) {
+        this.context = context;
         this.random = random;
         this.mesh = mesh;
         this.coordinators = coordinators;
-        this.capacity = new ResultCapacityTracker(parts.clock());
-        this.roomReports = new RoomReports(parts.loop(), parts.stateQueries(), capacity);
+        this.capacity = new ResultCapacityTracker(context.clock());
+        this.roomReports = new RoomReports(context.loop(), context.stateQueries(), capacity);
         this.freer = new ResultFreer(
-                parts.loop(), parts.client(), parts.endpointProtocol(), mesh.pieces(), capacity, this::rateLimited);
-        this.delegated = new DelegatedPieces(mesh.pieces(), parts.clock(), this::submit);
-        this.peerPieces = new PeerPieces(mesh.pieces(), parts.clock(), this);
+                context.loop(),
+                context.client(),
+                context.endpointProtocol(),
+                mesh.pieces(),
+                capacity,
+                this::rateLimited);
+        this.delegated = new DelegatedPieces(mesh.pieces(), context.clock(), this::submit);
+        this.peerPieces = new PeerPieces(mesh.pieces(), context.clock(), this);
     }
 
-    private boolean rateLimited(InetSocketAddress maker) {
+    private boolean rateLimited(InetSocketAddress endpointAddress) {
         return context.endpoints()
-                .findByAddress(maker)
+                .findByAddress(endpointAddress)
                 .map(context.limitReader()::limited)
                 .orElse(false);
     }
 
-    /** Begins to watch the boxes that gather for this one. */
+    /** Starts the periodic check of the coordinators that this box delegated pieces to. */
     public void start() {
-        PeriodicTask.start(context.loop(), "silent-gatherers", () -> SILENCE_CHECK_MS, this::resubmitFromSilentBoxes);
+        PeriodicTask.start(
+                context.loop(), "silent-gatherers", () -> COORDINATOR_CHECK_MS, this::resubmitFromUnreachableBoxes);
     }
 
-    private void resubmitFromSilentBoxes() {
+    private void resubmitFromUnreachableBoxes() {
         delegated.boxes().stream().filter(box -> !mesh.peers().heard(box)).forEach(delegated::boxLost);
     }
 
     /**
-     * Creates the stages of a request.
+     * Creates the stage graph of a request.
      *
      * @param request the request
      * @param route its route
-     * @param urgency its order among requests
+     * @param urgency rank, target and deadline of the request
      * @param readerDomain failure domain where the request itself will likely run
-     * @param listener told of the end
+     * @param listener notified when the stages are done or one of them has failed
      */
     public StageGraph graph(
             RelayRequest request,
@@ -97,16 +106,19 @@
         return new StageGraph(this, request, route, urgency, readerDomain, listener);
     }
 
-    /** Has pieces made by the box that gathers them, which may be this one. */
-    void submit(String service, List<PieceTask> tickets) {
+    /**
+     * Submits pieces to the coordinator of a service; runs them here if this box is the coordinator or has no link to
+     * it.
+     */
+    void submit(String service, List<PieceTask> tasks) {
         String coordinator = coordinators.coordinatorOf(service);
-        boolean given = coordinator != null && delegated.delegate(coordinator, service, tickets);
+        boolean given = coordinator != null && delegated.delegate(coordinator, service, tasks);
         if (!given) {
-            pool(service).submit(tickets);
+            pool(service).submit(tasks);
         }
     }
 
-    /** Records that some tickets were withdrawn. */
+    /** Tells coordinators which delegated pieces were withdrawn. */
     void withdrawn() {
         delegated.announceWithdrawn();
     }
@@ -137,17 +149,17 @@
         delegated.boxLost(boxId);
     }
 
-    /** Returns the pieces that wait in all pools. */
+    /** Returns the number of queued pieces in all pools. */
     public int waiting() {
         return pools.values().stream().mapToInt(StagePool::waiting).sum();
     }
 
-    /** Offers what waits again, after endpoints came or went. */
+    /** Dispatches queued pieces of all pools, after endpoints were added or removed. */
     public void dispatchAll() {
         List.copyOf(pools.values()).forEach(StagePool::dispatch);
     }
 
-    /** Has the work that an endpoint holds done elsewhere, since it fell silent. */
+    /** Abandons all calls to an endpoint that became unresponsive; their pieces are retried. */
     public void abandon(RelayEndpoint endpoint) {
         StagePool pool = pools.get(endpoint.identity().service());
         if (pool != null) {
@@ -164,7 +176,7 @@
         return context.clock().nowMs();
     }
 
-    /** Returns the usual time of a stage's pieces, in ms; 0 while nothing is known of the service. */
+    /** Returns the expected time of a stage, in ms; 0 when the service is not in the configuration. */
     long expectedMs(StageSpec stage, int pieces) {
         return context.config()
                 .get()
@@ -175,9 +187,9 @@
                 .orElse(0L);
     }
 
-    /** Returns the failure domain where a result lies; empty when it is not known. */
-    String domainOf(PieceOutcome made) {
-        return context.endpoints().domainAt(made.endpointAddress());
+    /** Returns the failure domain of the endpoint that stores a result; empty when it is not known. */
+    String domainOf(PieceOutcome outcome) {
+        return context.endpoints().domainAt(outcome.endpointAddress());
     }
 
     ResultFreer freer() {
--- a/relay/src/main/java/org/wingstall/relay/pool/WholeGroupPlanner.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/WholeGroupPlanner.java
@@ -7,45 +7,50 @@
 import org.wingstall.relay.config.PoolSpec;
 
 /**
- * Sends a group's pieces together, where there is room for all their results; only a group that fits into no call whole is
- * split.
+ * Sends all pieces of a group together, to an endpoint with capacity for all of their results; splits only groups that
+ * are too large for any call.
  *
- * <p>The load that this answers is a pool whose endpoints have room for few results: a part of a group that is made holds
- * room until the rest is made as well, and is thrown away when the request is given up meanwhile.
+ * <p>This matters when endpoints have capacity for few results: the results of a partly finished group take capacity
+ * until the rest is done, and are wasted if the request is abandoned meanwhile.
  */
 final class WholeGroupPlanner implements CallPlanner {
     @Override
     public Optional<PlannedCall> planNext(
-            List<PieceGroup> inOrder, List<EndpointCapacity> makers, PoolSpec spec, long nowMs) {
+            List<PieceGroup> inOrder, List<EndpointCapacity> endpoints, PoolSpec spec, long nowMs) {
         for (PieceGroup group : inOrder) {
-            Optional<EndpointCapacity> maker = bestEndpoint(makers, group, spec, nowMs);
-            if (maker.isPresent()) {
+            Optional<EndpointCapacity> endpoint = bestEndpoint(endpoints, group, spec, nowMs);
+            if (endpoint.isPresent()) {
                 return Optional.of(
-                        new PlannedCall(maker.get(), fill(maker.get(), group, inOrder, makers, spec, nowMs)));
+                        new PlannedCall(endpoint.get(), fill(endpoint.get(), group, inOrder, endpoints, spec, nowMs)));
             }
         }
         return Optional.empty();
     }
 
-    /** Returns the best endpoint with a free slot and room for the group: near before far, then the least loaded. */
+    /**
+     * Returns the best endpoint with a free slot and capacity for the group: a far endpoint counts as one call busier.
+     */
     private static Optional<EndpointCapacity> bestEndpoint(
-            List<EndpointCapacity> makers, PieceGroup group, PoolSpec spec, long nowMs) {
-        return makers.stream()
-                .filter(maker -> maker.freeSlots() > 0)
-                .filter(maker -> maySendTo(maker, group, makers, nowMs))
-                .filter(maker -> fits(maker, group, spec))
-                .min(Comparator.comparingDouble(maker -> maker.load() + (group.near(maker.failureDomain()) ? 0 : 1)));
+            List<EndpointCapacity> endpoints, PieceGroup group, PoolSpec spec, long nowMs) {
+        return endpoints.stream()
+                .filter(endpoint -> endpoint.freeSlots() > 0)
+                .filter(endpoint -> maySendTo(endpoint, group, endpoints, nowMs))
+                .filter(endpoint -> fits(endpoint, group, spec))
+                .min(Comparator.comparingDouble(
+                        endpoint -> endpoint.load() + (group.near(endpoint.failureDomain()) ? 0 : 1)));
     }
 
-    /** A group waits for a near endpoint only while there is one. */
+    /**
+     * Returns whether the group may be sent to an endpoint: any will do when no endpoint that can be called is near.
+     */
     private static boolean maySendTo(
-            EndpointCapacity maker, PieceGroup group, List<EndpointCapacity> makers, long nowMs) {
-        return group.maySendTo(maker.failureDomain(), nowMs)
-                || makers.stream().noneMatch(other -> group.near(other.failureDomain()));
+            EndpointCapacity endpoint, PieceGroup group, List<EndpointCapacity> endpoints, long nowMs) {
+        return group.maySendTo(endpoint.failureDomain(), nowMs)
+                || endpoints.stream().noneMatch(other -> group.near(other.failureDomain()));
     }
 
-    private static boolean fits(EndpointCapacity maker, PieceGroup group, PoolSpec spec) {
-        return maker.freeBytes() >= group.neededBytes(spec);
+    private static boolean fits(EndpointCapacity endpoint, PieceGroup group, PoolSpec spec) {
+        return endpoint.freeBytes() >= group.neededBytes(spec);
     }
 
     private static long resultBytes(PieceGroup group) {
@@ -53,22 +58,22 @@
     }
 
     private static List<Part> fill(
-            EndpointCapacity maker,
+            EndpointCapacity endpoint,
             PieceGroup first,
             List<PieceGroup> inOrder,
-            List<EndpointCapacity> makers,
+            List<EndpointCapacity> endpoints,
             PoolSpec spec,
             long nowMs) {
         List<PieceGroup> allowed = new ArrayList<>();
         allowed.add(first);
-        // Beside a piece that crashes its endpoint the other requests' pieces of a call would be lost as well.
+        // A piece that crashes its endpoint would also cost the pieces of other requests in the same call.
         inOrder.stream()
                 .filter(group -> group != first && !first.isolated() && !group.isolated())
-                .filter(group -> maySendTo(maker, group, makers, nowMs))
+                .filter(group -> maySendTo(endpoint, group, endpoints, nowMs))
                 .forEach(allowed::add);
         List<Part> parts = new ArrayList<>();
         int slots = spec.maxBatchSize();
-        double leftBytes = maker.freeBytes();
+        double leftBytes = endpoint.freeBytes();
         for (PieceGroup group : allowed) {
             int fitting = (int) Math.min(slots, leftBytes / resultBytes(group));
             boolean whole = fitting >= group.size();
--- a/relay/src/test/java/org/wingstall/relay/pool/CallTimeoutsTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/CallTimeoutsTest.java
@@ -9,34 +9,34 @@
     private static final PoolSpec SPEC = new PoolSpec(1, 2, 8, 150, 16, 43_000_000, 4000);
     private static final int ENDPOINTS = 4;
 
-    private final CallTimeouts patience = new CallTimeouts();
+    private final CallTimeouts timeouts = new CallTimeouts();
 
     private long fullCallMs() {
-        return patience.timeoutMs(SPEC, SPEC.maxBatchSize(), ENDPOINTS);
+        return timeouts.timeoutMs(SPEC, SPEC.maxBatchSize(), ENDPOINTS);
     }
 
     private void answeredAfter(long tookMs) {
-        patience.recordAnswer(SPEC, SPEC.maxBatchSize(), tookMs);
+        timeouts.recordAnswer(SPEC, SPEC.maxBatchSize(), tookMs);
     }
 
     @Test
-    public void aStoppedEndpointHoldsItsPiecesForAboutThreeCallsAtMost() {
+    public void stoppedEndpointHoldsItsPiecesForAtMostThreeCalls() {
         for (int i = 0; i < 20; i++) {
-            patience.recordLoss();
+            timeouts.recordLoss();
             answeredAfter(200);
         }
         assertEquals(fullCallMs(), 3 * Math.round(SPEC.callMs(SPEC.maxBatchSize())));
     }
 
     @Test
-    public void aServiceWhoseEndpointsAreAllSlowGetsLongerCallsUpToABound() {
+    public void timeoutGrowsUpToALimitWhileAllEndpointsAreSlow() {
         long usualMs = fullCallMs();
         for (int i = 0; i < ENDPOINTS; i++) {
-            patience.recordLoss();
+            timeouts.recordLoss();
         }
         assertEquals(fullCallMs(), 2 * usualMs);
         for (int i = 0; i < 10 * ENDPOINTS; i++) {
-            patience.recordLoss();
+            timeouts.recordLoss();
         }
         assertEquals(fullCallMs(), 4 * usualMs);
         answeredAfter(usualMs + 1);
--- a/relay/src/test/java/org/wingstall/relay/pool/GroupOrderTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/GroupOrderTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which pieces an endpoint takes first. */
+/** Checks the order in which groups are sent. */
 public class GroupOrderTest {
     private static final long NOW_MS = 1000;
 
@@ -14,7 +14,7 @@
         return PieceGroups.group(rank, targetAtMs, 4);
     }
 
-    /** Pairs of which both can't be in time. */
+    /** Pairs of groups in the expected order. */
     @DataProvider
     Object[][] pairs() {
         return new Object[][] {
@@ -25,7 +25,7 @@
     }
 
     @Test(dataProvider = "pairs")
-    public void thoseInTimeGoFirstThenRankThenTarget(PieceGroup first, PieceGroup second) {
+    public void groupsThatCanMeetTheirTargetAreFirstThenRankThenTarget(PieceGroup first, PieceGroup second) {
         assertEquals(GroupOrder.EARLIEST_TARGET.sorted(List.of(second, first), NOW_MS), List.of(first, second));
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/pool/PieceGroups.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PieceGroups.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.wingstall.relay.wire.Piece;
 
-/** Groups of pieces for tests. */
+/** Creates groups of pieces for tests. */
 final class PieceGroups {
     private static final long MB = 1_000_000;
 
--- a/relay/src/test/java/org/wingstall/relay/pool/PoolAdmissionTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolAdmissionTest.java
@@ -7,13 +7,13 @@
 import org.testng.annotations.Test;
 import org.wingstall.relay.wire.Piece;
 
-/** What would be late is turned away while more arrives than a pool can do, unless other stages were done for it. */
+/** Checks which groups that would miss their target are rejected, depending on the load and on earlier stages. */
 public class PoolAdmissionTest {
     private static final long TARGET_MS = 1000;
     private static final long DUE_MS = 1500;
     private static final long CALL_MS = 1200;
 
-    /** The load of the pool, whether the group reads results of other stages, and how many groups are turned away. */
+    /** The load of the pool, whether the group reads results of other stages, and the number of rejected groups. */
     @DataProvider
     public Object[][] lateGroups() {
         return new Object[][] {
@@ -25,15 +25,15 @@
     }
 
     @Test(dataProvider = "lateGroups")
-    public void aGroupThatWouldBeLateIsTurnedAwayBeforeAnythingWasDoneForIt(
-            double load, boolean readsResults, int turnedAway) {
+    public void lateGroupIsRejectedUnderOverloadUnlessItHasPredecessors(
+            double load, boolean readsResults, int rejectedGroups) {
         PoolForecast forecast = new PoolForecast(List.of(0L), 7, pieces -> CALL_MS);
         AdmissionContext outlook = new AdmissionContext(forecast, group -> 0, load);
         assertEquals(
                 PoolAdmission.UNTIL_TARGET_UNDER_OVERLOAD
                         .rejected(List.of(group(readsResults)), outlook, 0)
                         .size(),
-                turnedAway);
+                rejectedGroups);
     }
 
     private static PieceGroup group(boolean readsResults) {
--- a/relay/src/test/java/org/wingstall/relay/pool/PoolSimulation.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolSimulation.java
@@ -14,82 +14,84 @@
 import org.wingstall.relay.wire.Piece;
 
 /**
- * Replays a load on the decisions of one pool, against a model of its endpoints: what a call costs, the room that results
- * take until their reader has them, endpoints that are slow or silent. Time is simulated, so a minute of load takes some ms.
+ * Simulates the policies of one pool under load, with a model of its endpoints: the duration of calls, the capacity
+ * that results take until they are read, and slow or unresponsive endpoints. Time is simulated, so a minute of load
+ * takes some ms.
  */
 final class PoolSimulation {
-    /** Pause between two offers of what found no endpoint, in ms; that of the pool itself. */
-    private static final long OFFER_AGAIN_MS = 15;
+    /** Delay before waiting groups are dispatched again, in ms; the same as in the pool itself. */
+    private static final long DISPATCH_RETRY_MS = 15;
 
-    private final PoolSetup site;
+    private final PoolSetup setup;
     private final PoolPolicies policies;
     private final SplittableRandom random;
     private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(this.nowMs);
-    private final ResultCapacityTracker ledger = new ResultCapacityTracker(clock);
+    private final ResultCapacityTracker capacity = new ResultCapacityTracker(clock);
     private final CallTimeEstimator times = new CallTimeEstimator();
     private final PoolLoad load = new PoolLoad(clock);
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atMs));
     private final List<PieceGroup> waiting = new ArrayList<>();
-    private final Map<PieceGroup, PendingRequest> works = new HashMap<>();
+    private final Map<PieceGroup, PendingRequest> requestsByGroup = new HashMap<>();
     private final Map<SimulatedEndpoint, Long> busyUntilMs = new HashMap<>();
     private final Map<String, Outcome> outcomes = new HashMap<>();
     private long nowMs;
-    private long offerAtMs = -1;
+    private long nextDispatchAtMs = -1;
     private double wastedMs;
 
-    /** A kind of request that needs the pool. */
+    /** A kind of request that uses the pool. */
     record RequestKind(
-            String name, int rank, double perSecond, int mostPieces, long resultBytes, long targetMs, double worth) {}
+            String name, int rank, double perSecond, int maxPieces, long resultBytes, long targetMs, double value) {}
 
-    /** An endpoint; a silent one loses the calls that reach it while it is silent, after a time. */
-    record SimulatedEndpoint(String id, String failureDomain, double slowness, long silentFromMs, long silentUntilMs) {
-        static SimulatedEndpoint sound(String id, String failureDomain) {
+    /** An endpoint; calls that are running at any time while it is unresponsive are lost. */
+    record SimulatedEndpoint(
+            String id, String failureDomain, double slowdown, long unresponsiveFromMs, long unresponsiveUntilMs) {
+        static SimulatedEndpoint healthy(String id, String failureDomain) {
             return new SimulatedEndpoint(id, failureDomain, 1, Long.MAX_VALUE, Long.MAX_VALUE);
         }
 
         SimulatedEndpoint slow(double times) {
-            return new SimulatedEndpoint(id, failureDomain, times, silentFromMs, silentUntilMs);
+            return new SimulatedEndpoint(id, failureDomain, times, unresponsiveFromMs, unresponsiveUntilMs);
         }
 
-        SimulatedEndpoint silent(long fromMs, long untilMs) {
-            return new SimulatedEndpoint(id, failureDomain, slowness, fromMs, untilMs);
+        SimulatedEndpoint unresponsive(long fromMs, long untilMs) {
+            return new SimulatedEndpoint(id, failureDomain, slowdown, fromMs, untilMs);
         }
     }
 
-    /** A time in which a kind's arrivals are multiplied. */
-    record Burst(String kind, double times, long fromMs, long untilMs) {}
+    /** A period in which the arrival rate of a kind is multiplied. */
+    record Burst(String kind, double factor, long fromMs, long untilMs) {}
 
-    /** What a load is played on. */
+    /** The endpoints and the load of a simulation. */
     record PoolSetup(
             PoolSpec spec,
-            List<SimulatedEndpoint> makers,
+            List<SimulatedEndpoint> endpoints,
             List<RequestKind> kinds,
             List<Burst> bursts,
-            double formerResultsPart,
+            double uncountedFraction,
             long lengthMs,
             long readerMs) {}
 
-    /** What became of the requests of a kind. */
+    /** Counts of the requests of a kind, by outcome. */
     static final class Outcome {
-        private int asked;
+        private int requests;
         private int inTime;
         private int late;
-        private int refused;
-        private int ended;
-        private int largestAsked;
+        private int rejected;
+        private int expired;
+        private int largestRequests;
         private int largestInTime;
 
-        /** Returns the requests with the most pieces that their kind has. */
-        int largestAsked() {
-            return largestAsked;
+        /** Returns the number of requests with the maximum number of pieces of their kind. */
+        int largestRequests() {
+            return largestRequests;
         }
 
         int largestInTime() {
             return largestInTime;
         }
 
-        int asked() {
-            return asked;
+        int requests() {
+            return requests;
         }
 
         int inTime() {
@@ -100,24 +102,24 @@
             return late;
         }
 
-        int refused() {
-            return refused;
+        int rejected() {
+            return rejected;
         }
 
-        /** Returns those that waited until their time was over. */
-        int ended() {
-            return ended;
+        /** Returns the number of requests that waited until their deadline, or whose call was lost. */
+        int expired() {
+            return expired;
         }
 
         @Override
         public String toString() {
-            return inTime + " of " + asked + " in time, " + late + " late, " + refused + " refused, " + ended
+            return inTime + " of " + requests + " in time, " + late + " late, " + rejected + " refused, " + expired
                     + " ended";
         }
     }
 
-    /** The outcome of a replay. */
-    record Result(Map<String, Outcome> kinds, double worth, double thrownAwayMs) {}
+    /** The result of a simulation. */
+    record Result(Map<String, Outcome> kinds, double value, double wastedMs) {}
 
     private record Event(long atMs, Runnable action) {}
 
@@ -133,71 +135,71 @@
         PendingRequest(RequestKind kind, long arrivedMs, int pieces) {
             this.kind = kind;
             this.arrivedMs = arrivedMs;
-            this.largest = pieces == kind.mostPieces();
+            this.largest = pieces == kind.maxPieces();
             this.left = pieces;
         }
     }
 
-    PoolSimulation(PoolSetup site, PoolPolicies policies, long seed) {
-        this.site = site;
+    PoolSimulation(PoolSetup setup, PoolPolicies policies, long seed) {
+        this.setup = setup;
         this.policies = policies;
         this.random = new SplittableRandom(seed);
     }
 
-    Result play() {
-        site.kinds().forEach(kind -> outcomes.put(kind.name(), new Outcome()));
-        site.kinds().forEach(kind -> planArrival(kind, 0));
-        for (SimulatedEndpoint maker : site.makers()) {
+    Result run() {
+        setup.kinds().forEach(kind -> outcomes.put(kind.name(), new Outcome()));
+        setup.kinds().forEach(kind -> scheduleArrival(kind, 0));
+        for (SimulatedEndpoint maker : setup.endpoints()) {
             busyUntilMs.put(maker, 0L);
-            double free = site.spec().resultCapacityBytes() * (1 - site.formerResultsPart());
-            ledger.recordInitialFreeBytes(maker.id(), site.spec(), free);
+            double free = setup.spec().resultCapacityBytes() * (1 - setup.uncountedFraction());
+            capacity.recordInitialFreeBytes(maker.id(), setup.spec(), free);
         }
         while (!events.isEmpty()) {
             Event next = events.poll();
             nowMs = next.atMs();
             next.action().run();
         }
-        double owed = site.kinds().stream()
-                .mapToDouble(kind -> kind.worth() * outcomes.get(kind.name()).asked())
+        double owed = setup.kinds().stream()
+                .mapToDouble(kind -> kind.value() * outcomes.get(kind.name()).requests())
                 .sum();
-        double earned = site.kinds().stream().mapToDouble(this::earned).sum();
+        double earned = setup.kinds().stream().mapToDouble(this::earned).sum();
         return new Result(outcomes, earned / owed, wastedMs);
     }
 
-    /** A late answer is worth about a seventh of one in time. */
+    /** Returns the value of the served requests; a late response has 0.15 of the value of one in time. */
     private double earned(RequestKind kind) {
         Outcome outcome = outcomes.get(kind.name());
-        return kind.worth() * (outcome.inTime + 0.15 * outcome.late);
+        return kind.value() * (outcome.inTime + 0.15 * outcome.late);
     }
 
-    private void at(long atMs, Runnable action) {
+    private void schedule(long atMs, Runnable action) {
         events.add(new Event(atMs, action));
     }
 
-    private void planArrival(RequestKind kind, long afterMs) {
-        double times = site.bursts().stream()
+    private void scheduleArrival(RequestKind kind, long afterMs) {
+        double times = setup.bursts().stream()
                 .filter(burst ->
                         burst.kind().equals(kind.name()) && burst.fromMs() <= afterMs && afterMs < burst.untilMs())
-                .mapToDouble(Burst::times)
+                .mapToDouble(Burst::factor)
                 .findFirst()
                 .orElse(1);
         double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (kind.perSecond() * times);
         long atMs = afterMs + Math.max(1, Math.round(gapMs));
-        if (atMs < site.lengthMs()) {
-            at(atMs, () -> {
+        if (atMs < setup.lengthMs()) {
+            schedule(atMs, () -> {
                 arrive(kind);
-                planArrival(kind, nowMs);
+                scheduleArrival(kind, nowMs);
             });
         }
     }
 
     private void arrive(RequestKind kind) {
-        int pieces = 1 + random.nextInt(kind.mostPieces());
-        outcomes.get(kind.name()).asked++;
-        PendingRequest work = new PendingRequest(kind, nowMs, pieces);
-        outcomes.get(kind.name()).largestAsked += work.largest ? 1 : 0;
+        int pieces = 1 + random.nextInt(kind.maxPieces());
+        outcomes.get(kind.name()).requests++;
+        PendingRequest request = new PendingRequest(kind, nowMs, pieces);
+        outcomes.get(kind.name()).largestRequests += request.largest ? 1 : 0;
         Urgency urgency = new Urgency(
-                kind.rank(), nowMs + kind.targetMs() - site.readerMs(), nowMs + Math.round(1.5 * kind.targetMs()));
+                kind.rank(), nowMs + kind.targetMs() - setup.readerMs(), nowMs + Math.round(1.5 * kind.targetMs()));
         List<PieceTask> tickets = new ArrayList<>();
         for (int i = 0; i < pieces; i++) {
             tickets.add(new PieceTask(
@@ -209,34 +211,34 @@
         PieceGroup group = new PieceGroup(
                 tickets,
                 nowMs,
-                times.callMs(site.spec(), Math.min(pieces, site.spec().maxBatchSize())),
+                times.callMs(setup.spec(), Math.min(pieces, setup.spec().maxBatchSize())),
                 false);
-        works.put(group, work);
+        requestsByGroup.put(group, request);
         waiting.add(group);
-        load.recordArrival(times.slotTimeMs(site.spec(), pieces));
-        offer();
+        load.recordArrival(times.slotTimeMs(setup.spec(), pieces));
+        dispatch();
     }
 
-    private void offer() {
+    private void dispatch() {
         List<PieceGroup> ended = waiting.stream()
                 .filter(group -> group.urgency().deadlineAtMs() <= nowMs)
                 .toList();
         waiting.removeAll(ended);
         ended.forEach(group -> {
-            outcomes.get(works.get(group).kind.name()).ended++;
-            giveUp(works.get(group));
+            outcomes.get(requestsByGroup.get(group).kind.name()).expired++;
+            abandon(requestsByGroup.get(group));
         });
-        turnAway();
-        while (sendOne()) {
-            // Until nothing can go.
+        reject();
+        while (sendNextCall()) {
+            // Sends calls until no group can be sent.
         }
-        if (!waiting.isEmpty() && offerAtMs <= nowMs) {
-            offerAtMs = nowMs + OFFER_AGAIN_MS;
-            at(offerAtMs, this::offer);
+        if (!waiting.isEmpty() && nextDispatchAtMs <= nowMs) {
+            nextDispatchAtMs = nowMs + DISPATCH_RETRY_MS;
+            schedule(nextDispatchAtMs, this::dispatch);
         }
     }
 
-    private void turnAway() {
+    private void reject() {
         if (forecast().slotsFreeAtMs().isEmpty()) {
             return;
         }
@@ -244,60 +246,63 @@
         List<PieceGroup> inOrder = policies.order().sorted(waiting, nowMs);
         AdmissionContext outlook = new AdmissionContext(
                 forecast,
-                this::roomAtMs,
+                this::capacityAtMs,
                 load.relativeTo(forecast.slotsFreeAtMs().size()));
         for (PoolAdmission.RejectedGroup away : policies.admission().rejected(inOrder, outlook, nowMs)) {
             waiting.remove(away.group());
-            outcomes.get(works.get(away.group()).kind.name()).refused++;
-            giveUp(works.get(away.group()));
+            outcomes.get(requestsByGroup.get(away.group()).kind.name()).rejected++;
+            abandon(requestsByGroup.get(away.group()));
         }
     }
 
     private PoolForecast forecast() {
-        List<Long> freeAtMs = site.makers().stream()
+        List<Long> freeAtMs = setup.endpoints().stream()
                 .filter(this::usable)
                 .map(maker -> Math.max(nowMs, busyUntilMs.get(maker)))
                 .toList();
-        return new PoolForecast(freeAtMs, site.spec().maxBatchSize(), pieces -> times.callMs(site.spec(), pieces));
+        return new PoolForecast(freeAtMs, setup.spec().maxBatchSize(), pieces -> times.callMs(setup.spec(), pieces));
     }
 
-    private long roomAtMs(PieceGroup group) {
-        return site.makers().stream()
-                .mapToLong(maker -> ledger.capacityAtMs(
-                        maker.id(), site.spec().resultCapacityBytes(), group.neededBytes(site.spec())))
+    private long capacityAtMs(PieceGroup group) {
+        return setup.endpoints().stream()
+                .mapToLong(maker -> capacity.capacityAtMs(
+                        maker.id(), setup.spec().resultCapacityBytes(), group.neededBytes(setup.spec())))
                 .min()
                 .orElse(nowMs);
     }
 
-    private void giveUp(PendingRequest work) {
-        work.over = true;
-        wastedMs += work.spentMs;
+    private void abandon(PendingRequest request) {
+        request.over = true;
+        wastedMs += request.spentMs;
     }
 
-    /** A silent endpoint is known as such from the first call that it lost until it answers. */
+    /**
+     * Returns whether an endpoint may be called: an unresponsive one is avoided from its first lost call until it
+     * responds.
+     */
     private boolean usable(SimulatedEndpoint maker) {
-        boolean known = busyUntilMs.get(maker) >= maker.silentFromMs();
-        return !(known && nowMs < maker.silentUntilMs() && nowMs >= maker.silentFromMs());
+        boolean known = busyUntilMs.get(maker) >= maker.unresponsiveFromMs();
+        return !(known && nowMs < maker.unresponsiveUntilMs() && nowMs >= maker.unresponsiveFromMs());
     }
 
-    private boolean sendOne() {
-        List<CallPlanner.EndpointCapacity> makers = site.makers().stream()
+    private boolean sendNextCall() {
+        List<CallPlanner.EndpointCapacity> makers = setup.endpoints().stream()
                 .filter(this::usable)
                 .map(maker -> new CallPlanner.EndpointCapacity(
                         maker.id(),
                         maker.failureDomain(),
                         busyUntilMs.get(maker) <= nowMs ? 1 : 0,
-                        ledger.freeBytes(maker.id(), site.spec().resultCapacityBytes()),
+                        capacity.freeBytes(maker.id(), setup.spec().resultCapacityBytes()),
                         random.nextDouble() / 2))
                 .toList();
         Optional<CallPlanner.PlannedCall> planned =
-                policies.planner().planNext(policies.order().sorted(waiting, nowMs), makers, site.spec(), nowMs);
+                policies.planner().planNext(policies.order().sorted(waiting, nowMs), makers, setup.spec(), nowMs);
         planned.ifPresent(this::begin);
         return planned.isPresent();
     }
 
     private void begin(CallPlanner.PlannedCall planned) {
-        SimulatedEndpoint maker = site.makers().stream()
+        SimulatedEndpoint maker = setup.endpoints().stream()
                 .filter(one -> one.id().equals(planned.endpoint().endpointId()))
                 .findFirst()
                 .orElseThrow();
@@ -305,49 +310,49 @@
         for (CallPlanner.Part part : planned.parts()) {
             part.group().take(part.pieces());
             pieces += part.pieces();
-            ledger.reserve(
+            capacity.reserve(
                     maker.id(),
                     part.pieces() * (double) part.group().placement().resultBytes());
         }
         waiting.removeIf(group -> group.size() == 0);
         int carried = pieces;
-        long tookMs = Math.round(site.spec().callMs(carried) * maker.slowness() * random.nextDouble(0.95, 1.1));
+        long tookMs = Math.round(setup.spec().callMs(carried) * maker.slowdown() * random.nextDouble(0.95, 1.1));
         long endsAtMs = nowMs + tookMs;
-        boolean lost = nowMs < maker.silentUntilMs() && endsAtMs > maker.silentFromMs();
+        boolean lost = nowMs < maker.unresponsiveUntilMs() && endsAtMs > maker.unresponsiveFromMs();
         busyUntilMs.put(maker, endsAtMs);
-        at(endsAtMs, () -> {
+        schedule(endsAtMs, () -> {
             if (!lost) {
-                times.record(site.spec(), carried, tookMs);
+                times.record(setup.spec(), carried, tookMs);
             }
             planned.parts().forEach(part -> ended(maker, part, tookMs / (double) carried, lost));
-            offer();
+            dispatch();
         });
     }
 
     private void ended(SimulatedEndpoint maker, CallPlanner.Part part, double pieceMs, boolean lost) {
         double bytes = part.pieces() * (double) part.group().placement().resultBytes();
-        PendingRequest work = works.get(part.group());
-        work.spentMs += part.pieces() * pieceMs;
+        PendingRequest request = requestsByGroup.get(part.group());
+        request.spentMs += part.pieces() * pieceMs;
         if (lost) {
-            ledger.release(maker.id(), bytes);
-            outcomes.get(work.kind.name()).ended++;
-            giveUp(work);
+            capacity.release(maker.id(), bytes);
+            outcomes.get(request.kind.name()).expired++;
+            abandon(request);
             return;
         }
-        if (work.over) {
+        if (request.over) {
             wastedMs += part.pieces() * pieceMs;
-            ledger.release(maker.id(), bytes);
+            capacity.release(maker.id(), bytes);
             return;
         }
-        work.left -= part.pieces();
-        long readAtMs = nowMs + site.readerMs();
-        at(readAtMs, () -> ledger.release(maker.id(), bytes));
-        if (work.left == 0) {
-            boolean inTime = readAtMs - work.arrivedMs <= work.kind.targetMs();
-            Outcome outcome = outcomes.get(work.kind.name());
+        request.left -= part.pieces();
+        long readAtMs = nowMs + setup.readerMs();
+        schedule(readAtMs, () -> capacity.release(maker.id(), bytes));
+        if (request.left == 0) {
+            boolean inTime = readAtMs - request.arrivedMs <= request.kind.targetMs();
+            Outcome outcome = outcomes.get(request.kind.name());
             if (inTime) {
                 outcome.inTime++;
-                outcome.largestInTime += work.largest ? 1 : 0;
+                outcome.largestInTime += request.largest ? 1 : 0;
             } else {
                 outcome.late++;
             }
--- a/relay/src/test/java/org/wingstall/relay/pool/RendezvousCoordinatorSelectorTest.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/RendezvousCoordinatorSelectorTest.java
@@ -12,8 +12,8 @@
     private static final List<String> BOXES = List.of("a", "b", "c", "hub-1", "hub-2");
     private static final Set<String> HUBS = Set.of("hub-1", "hub-2");
 
-    private static String gatherer(String self, List<String> heard, Set<String> linked) {
-        return new RendezvousCoordinatorSelector(self, () -> heard, linked::contains, HUBS::contains)
+    private static String coordinator(String self, List<String> reachable, Set<String> linked) {
+        return new RendezvousCoordinatorSelector(self, () -> reachable, linked::contains, HUBS::contains)
                 .coordinatorOf("pay-ledger");
     }
 
@@ -22,23 +22,23 @@
     }
 
     @Test
-    public void allBoxesComeToTheSameHub() {
-        Set<String> chosen = new HashSet<>();
+    public void allBoxesSelectTheSameHub() {
+        Set<String> selected = new HashSet<>();
         for (String box : BOXES) {
-            String gatherer = gatherer(box, without(box), Set.copyOf(BOXES));
-            chosen.add(gatherer == null ? box : gatherer);
+            String coordinator = coordinator(box, without(box), Set.copyOf(BOXES));
+            selected.add(coordinator == null ? box : coordinator);
         }
-        assertEquals(chosen.size(), 1);
-        assertEquals(HUBS.containsAll(chosen), true);
+        assertEquals(selected.size(), 1);
+        assertEquals(HUBS.containsAll(selected), true);
     }
 
     @Test
-    public void aBoxGathersForItselfWhileNoHubIsLinked() {
-        assertNull(gatherer("a", without("a"), Set.of("b", "c")));
+    public void boxIsItsOwnCoordinatorWhileNoHubIsLinked() {
+        assertNull(coordinator("a", without("a"), Set.of("b", "c")));
     }
 
     @Test
-    public void aHubThatIsNotHeardIsNotChosen() {
-        assertEquals(gatherer("a", List.of("b", "hub-2"), Set.copyOf(BOXES)), "hub-2");
+    public void unreachableHubIsNotSelected() {
+        assertEquals(coordinator("a", List.of("b", "hub-2"), Set.copyOf(BOXES)), "hub-2");
     }
 }
