--- a/relay/src/main/java/org/wingstall/relay/engine/EngineAssignment.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineAssignment.java
@@ -5,75 +5,78 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
 /**
- * The engine chosen for one sending of a request, and the way to tell the box that chose what became of it. Confined to the
- * request loop.
+ * Holds the engine selected for one attempt of a request and reports the outcome to the box that selected it. Confined
+ * to the request loop.
  *
- * <p>{@code ticket.endpoint(); ... ticket.answered();}
+ * <p>{@code assignment.endpoint(); ... assignment.answered();}
  *
  * @since 0.4
  */
 public final class EngineAssignment {
     private final EngineLoadBalancer.Choice choice;
-    private final String chooser;
+    private final String coordinator;
     private final int ownTokens;
     private final MonotonicClock clock;
-    private final long sinceMs;
+    private final long startedAtMs;
     private final OutcomeListener listener;
     private boolean ended;
 
-    /** Told once what became of the request. */
+    /** Receives the outcome of the attempt, once. */
     interface OutcomeListener {
-        /** The first sign of an answer came after so many ms; below 0 when the engine could not be reached. */
+        /**
+         * Called when the first event of the response arrived after {@code firstAnswerMs}; negative when the engine
+         * could not be reached.
+         */
         void ended(EngineAssignment ticket, long firstAnswerMs);
     }
 
     EngineAssignment(
             EngineLoadBalancer.Choice choice,
-            String chooser,
+            String coordinator,
             int ownTokens,
             MonotonicClock clock,
             OutcomeListener listener) {
         this.choice = choice;
-        this.chooser = chooser;
+        this.coordinator = coordinator;
         this.ownTokens = ownTokens;
         this.clock = clock;
-        this.sinceMs = clock.nowMs();
+        this.startedAtMs = clock.nowMs();
         this.listener = listener;
     }
 
-    /** Returns the engine. */
+    /** Returns the selected engine. */
     public RelayEndpoint endpoint() {
         return choice.endpoint();
     }
 
-    /** Returns the box that chose it; null for this one. */
+    /** Returns the box that selected the engine; null for this one. */
     public String coordinator() {
-        return chooser;
+        return coordinator;
     }
 
-    /** Returns what was expected of it. */
+    /** Returns the prediction for the engine. */
     public EngineEstimate estimate() {
         return choice.estimate();
     }
 
-    /** Returns an engine that keeps parts of the prompt which the chosen one lacks, or null. */
+    /** Returns the address of an engine that has cached parts of the prompt which the selected one lacks, or null. */
     public InetSocketAddress fetchFrom() {
         return choice.fetchFrom();
     }
 
-    /** Returns the tokens of the request's own part of the prompt. */
+    /** Returns the number of tokens in the request's own part of the prompt. */
     int ownTokens() {
         return ownTokens;
     }
 
-    /** Returns whether it is known what became of the request. */
+    /** Returns whether the outcome is known. */
     public boolean ended() {
         return ended;
     }
 
-    /** Records the first sign of an answer. */
+    /** Records that the first event of the response arrived. */
     public void answered() {
-        end(clock.nowMs() - sinceMs);
+        end(clock.nowMs() - startedAtMs);
     }
 
     /** Records that the engine could not be reached. */
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineLoadBalancer.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineLoadBalancer.java
@@ -13,63 +13,64 @@
 import org.wingstall.relay.endpoint.RelayEndpoint;
 
 /**
- * Chooses the engine that will answer a prompt first, by what all engines were given through this box: the prompts that wait
- * to be read there, what of this prompt it keeps or can fetch, what runs beside, and how slow it has been. Confined to the
- * request loop.
+ * Selects the engine with the lowest estimated cost for a prompt, from the prompts that this box has assigned to all
+ * engines. The estimate covers the prefill queue of an engine, the parts of the prompt that it has cached or can fetch,
+ * its running requests and its observed slowdown. Confined to the request loop.
  *
- * <p>{@code ledger.choose(new SelectionContext(engines, prompt, Inputs.NONE, Optional.empty())).endpoint()}
+ * <p>{@code loadBalancer.choose(new SelectionContext(engines, prompt, inputs, 1000, Optional.empty())).endpoint()}
  *
  * @since 0.4
  */
 final class EngineLoadBalancer {
     /**
-     * What reading a shared part once more costs beside its time, in parts of that time: other prompts wait for it as well.
-     * At 0 twice as many tokens were read again as without a common choice.
+     * Additional cost of the prefill of a shared part, as a fraction of its time, since other prompts wait for it as
+     * well. At 0, twice as many tokens were prefilled repeatedly as without a coordinator.
      */
-    private static final double READ_AGAIN = 1;
+    private static final double REPEATED_PREFILL_COST = 1;
 
-    /** What it takes to fetch a request's inputs from another failure domain, whatever their size, in ms. */
-    private static final double FAR_MS = 5;
+    /** Fixed time to fetch a request's inputs from another failure domain, in ms. */
+    private static final double REMOTE_INPUT_MS = 5;
 
-    /** What each megabyte of them takes beside, in ms, over links of 1 Gbit/s. */
-    private static final double FAR_MS_PER_MB = 8;
+    /** Additional time per megabyte of inputs, in ms, over links of 1 Gbit/s. */
+    private static final double REMOTE_INPUT_MS_PER_MB = 8;
 
     /**
-     * What each megabyte of them costs beside its time, in ms of engines: links between failure domains are dear. While an
-     * answer is in time anyway, the near engine is chosen unless others wait for it much longer.
+     * Cost per megabyte of inputs in addition to its time, in ms of engine time, since links between failure domains
+     * are expensive. As long as a response meets its target, the engine near the inputs is selected unless its queue is
+     * much longer.
      */
-    private static final double DEAR_MS_PER_MB = 50;
+    private static final double REMOTE_INPUT_COST_PER_MB = 50;
 
-    /** What each ms beyond the target costs, in ms within it. */
-    private static final double LATE = 3;
+    /** Factor on the time beyond the target. */
+    private static final double LATE_FACTOR = 3;
 
-    /** Factor on an expected time from which it is counted as late: some answers take longer. */
-    private static final double MARGIN = 1.3;
+    /** Safety factor on the estimated time when it is compared with the target, since some responses take longer. */
+    private static final double ESTIMATE_MARGIN = 1.3;
 
     private static final double BYTES_PER_MB = 1e6;
 
-    /** Memory of an engine whose service says nothing of it, in tokens; engines of today have 300,000 and more. */
-    private static final long ASSUMED_MEMORY_TOKENS = 300_000;
+    /** Cache capacity of an engine without a configured one, in tokens; current engines have 300,000 and more. */
+    private static final long DEFAULT_CACHE_TOKENS = 300_000;
 
-    /** Time to set up the fetching of what another engine keeps, in ms; two ways there and back between domains. */
+    /** Time to set up a fetch from another engine's cache, in ms: two round trips between failure domains. */
     private static final double FETCH_SETUP_MS = 6;
 
-    /** Fetching between failure domains takes so many times as long as within one. */
-    private static final double FAR_FETCH = 2;
+    /** Factor on the time of a fetch between failure domains compared with one within a failure domain. */
+    private static final double REMOTE_FETCH_FACTOR = 2;
 
     private final MonotonicClock clock;
-    private final Predicate<RelayEndpoint> spared;
+    private final Predicate<RelayEndpoint> rateLimited;
     private final Map<String, EngineLoad> loads = new HashMap<>();
     private final Map<String, EngineSpeed> speeds = new HashMap<>();
 
     /**
-     * What a choice is for.
+     * Describes the prompt and the engines of one selection.
      *
-     * @param candidates engines that may take the prompt, at least one
+     * @param candidates engines that can take the prompt, at least one
      * @param prompt the prompt
-     * @param inputs where its inputs lie
-     * @param targetMs time left until its first answer is wanted, in ms
-     * @param spec what the engines can do, where the configuration says so
+     * @param inputs where its inputs are stored
+     * @param targetMs time until its first response is wanted, in ms
+     * @param spec properties of the engines, where configured
      */
     record SelectionContext(
             List<RelayEndpoint> candidates,
@@ -79,121 +80,144 @@
             Optional<EngineSpec> spec) {}
 
     /**
-     * The engine that was chosen.
+     * The result of a selection.
      *
      * @param endpoint the engine
-     * @param expectation what is expected of it
-     * @param fetchFrom engine that keeps parts of the prompt which the chosen one lacks, or null
+     * @param estimate the prediction for it
+     * @param fetchFrom engine that has cached parts of the prompt which the selected one lacks, or null
      */
     record Choice(RelayEndpoint endpoint, EngineEstimate estimate, InetSocketAddress fetchFrom) {}
 
-    /** What sending a prompt to an engine costs: its parts, the time until its first event, and that with what others lose. */
+    /**
+     * Estimated cost of sending a prompt to an engine: the time until its first event, parts of that time, and the
+     * total that includes the cost to other requests.
+     */
     private record Cost(
-            RelayEndpoint endpoint, int readTokens, double waitMs, double firstMs, double wholeMs, Fetch fetch) {}
-
-    /** Parts of a prompt that an engine can get from another one. */
-    private record Fetch(RelayEndpoint keeper, int tokens, double takesMs) {
+            RelayEndpoint endpoint,
+            int prefillTokens,
+            double waitMs,
+            double firstAnswerMs,
+            double totalMs,
+            Fetch fetch) {}
+
+    /** Parts of a prompt that an engine can fetch from another one. */
+    private record Fetch(RelayEndpoint source, int tokens, double durationMs) {
         private static final Fetch NONE = new Fetch(null, 0, 0);
     }
 
-    /** The engine that keeps most of a prompt, and how many parts of it. */
-    private record Keeper(RelayEndpoint endpoint, int parts) {}
+    /** The engine with the most leading parts of a prompt in its cache, and their number. */
+    private record CacheHolder(RelayEndpoint endpoint, int parts) {}
 
     /**
-     * Creates a ledger.
+     * Creates a load balancer without any knowledge of engines.
      *
      * @param clock monotonic clock
-     * @param spared whether an engine states a limit, so that others don't fetch from it
+     * @param rateLimited whether an engine advertises a limit, so that others don't fetch from it
      */
-    EngineLoadBalancer(MonotonicClock clock, Predicate<RelayEndpoint> spared) {
-        this.spared = spared;
+    EngineLoadBalancer(MonotonicClock clock, Predicate<RelayEndpoint> rateLimited) {
+        this.rateLimited = rateLimited;
         this.clock = clock;
     }
 
-    /** Chooses an engine and records what it is given. */
-    Choice choose(SelectionContext wanted) {
+    /** Selects an engine and records the prompt as assigned to it. */
+    Choice choose(SelectionContext context) {
         long nowMs = clock.nowMs();
-        Keeper keeper = keeperOf(wanted, nowMs);
-        String home = unread(wanted) ? preferredEngine(wanted.candidates(), wanted.prompt()) : "";
+        CacheHolder cacheHolder = cacheHolderOf(context, nowMs);
+        String preferred = unassigned(context) ? preferredEngine(context.candidates(), context.prompt()) : "";
         Cost best = null;
-        for (RelayEndpoint candidate : wanted.candidates()) {
-            Cost cost = cost(candidate, wanted, home, keeper, nowMs);
-            if (best == null || cost.wholeMs() < best.wholeMs()) {
+        for (RelayEndpoint candidate : context.candidates()) {
+            Cost cost = cost(candidate, context, preferred, cacheHolder, nowMs);
+            if (best == null || cost.totalMs() < best.totalMs()) {
                 best = cost;
             }
         }
-        EngineLoad load = loadOf(best.endpoint(), wanted.spec());
-        load.recordAssigned(wanted.prompt(), best.readTokens(), nowMs);
-        RelayEndpoint from = best.fetch().keeper();
-        EngineEstimate expectation =
-                new EngineEstimate(Math.round(best.firstMs()), (int) best.waitMs(), best.readTokens());
+        EngineLoad load = loadOf(best.endpoint(), context.spec());
+        load.recordAssigned(context.prompt(), best.prefillTokens(), nowMs);
+        RelayEndpoint source = best.fetch().source();
+        EngineEstimate estimate =
+                new EngineEstimate(Math.round(best.firstAnswerMs()), (int) best.waitMs(), best.prefillTokens());
         return new Choice(
-                best.endpoint(), expectation, from == null ? null : from.state().address());
+                best.endpoint(),
+                estimate,
+                source == null ? null : source.state().address());
     }
 
-    /** Returns whether no engine was given the shared parts through this box; then their home is the best guess. */
-    private boolean unread(SelectionContext wanted) {
-        int shared = wanted.prompt().tokens().size() - 1;
-        return wanted.candidates().stream()
+    /**
+     * Returns whether this box has assigned the shared parts to no engine yet; then the preferred engine is the best
+     * guess.
+     */
+    private boolean unassigned(SelectionContext context) {
+        int shared = context.prompt().tokens().size() - 1;
+        return context.candidates().stream()
                 .noneMatch(candidate ->
-                        loadOf(candidate, wanted.spec()).prefixCache().assignedParts(wanted.prompt()) >= shared);
+                        loadOf(candidate, context.spec()).prefixCache().assignedParts(context.prompt()) >= shared);
     }
 
-    private Keeper keeperOf(SelectionContext wanted, long nowMs) {
-        Keeper most = new Keeper(null, 0);
-        for (RelayEndpoint candidate : wanted.candidates()) {
-            int parts = loadOf(candidate, wanted.spec()).prefixCache().prefilledParts(wanted.prompt(), nowMs);
-            if (parts > most.parts() && !spared.test(candidate)) {
-                most = new Keeper(candidate, parts);
+    private CacheHolder cacheHolderOf(SelectionContext context, long nowMs) {
+        CacheHolder best = new CacheHolder(null, 0);
+        for (RelayEndpoint candidate : context.candidates()) {
+            int parts = loadOf(candidate, context.spec()).prefixCache().prefilledParts(context.prompt(), nowMs);
+            if (parts > best.parts() && !rateLimited.test(candidate)) {
+                best = new CacheHolder(candidate, parts);
             }
         }
-        return most;
+        return best;
     }
 
-    private Cost cost(RelayEndpoint candidate, SelectionContext wanted, String home, Keeper keeper, long nowMs) {
-        EngineLoad load = loadOf(candidate, wanted.spec());
-        Prompt prompt = wanted.prompt();
+    private Cost cost(
+            RelayEndpoint candidate, SelectionContext context, String preferred, CacheHolder cacheHolder, long nowMs) {
+        EngineLoad load = loadOf(candidate, context.spec());
+        Prompt prompt = context.prompt();
         int shared = prompt.tokens().size() - 1;
-        int warm = Math.max(
-                load.prefixCache().assignedParts(prompt), candidate.id().equals(home) ? shared : 0);
-        Fetch fetch = fetch(candidate, wanted, warm, keeper, load);
-        int readTokens = prompt.tokensFrom(warm) - fetch.tokens();
-        double readMs = load.prefillMs(readTokens);
-        double againMs = READ_AGAIN * Math.max(0, readMs - load.prefillMs(prompt.ownTokens()));
+        int cachedParts = Math.max(
+                load.prefixCache().assignedParts(prompt), candidate.id().equals(preferred) ? shared : 0);
+        Fetch fetch = fetch(candidate, context, cachedParts, cacheHolder, load);
+        int prefillTokens = prompt.tokensFrom(cachedParts) - fetch.tokens();
+        double prefillMs = load.prefillMs(prefillTokens);
+        double repeatedMs = REPEATED_PREFILL_COST * Math.max(0, prefillMs - load.prefillMs(prompt.ownTokens()));
         double waitMs = load.waitMs(nowMs);
-        double farMs = wanted.inputs()
-                .remoteCostMs(candidate.identity().failureDomain(), FAR_MS, FAR_MS_PER_MB / BYTES_PER_MB);
-        double firstMs = waitMs + fetch.takesMs() + readMs + load.firstDecodeMs(nowMs) + farMs;
-        double dearMs =
-                wanted.inputs().remoteCostMs(candidate.identity().failureDomain(), 0, DEAR_MS_PER_MB / BYTES_PER_MB);
-        double wholeMs = timeCostMs(firstMs, wanted.targetMs()) + againMs + dearMs;
-        return new Cost(candidate, readTokens, waitMs, firstMs, wholeMs, fetch);
+        double inputMs = context.inputs()
+                .remoteCostMs(
+                        candidate.identity().failureDomain(), REMOTE_INPUT_MS, REMOTE_INPUT_MS_PER_MB / BYTES_PER_MB);
+        double firstAnswerMs = waitMs + fetch.durationMs() + prefillMs + load.firstDecodeMs(nowMs) + inputMs;
+        double inputCostMs = context.inputs()
+                .remoteCostMs(candidate.identity().failureDomain(), 0, REMOTE_INPUT_COST_PER_MB / BYTES_PER_MB);
+        double totalMs = timeCostMs(firstAnswerMs, context.targetMs()) + repeatedMs + inputCostMs;
+        return new Cost(candidate, prefillTokens, waitMs, firstAnswerMs, totalMs, fetch);
     }
 
-    /** Time within the target costs what it keeps others waiting; beyond, the answer is worth little. */
-    private static double timeCostMs(double firstMs, long targetMs) {
-        return firstMs + LATE * Math.max(0, firstMs * MARGIN - targetMs);
+    /**
+     * Returns the cost of a time until the first event: time beyond the target costs more, since a late response is
+     * worth little.
+     */
+    private static double timeCostMs(double firstAnswerMs, long targetMs) {
+        return firstAnswerMs + LATE_FACTOR * Math.max(0, firstAnswerMs * ESTIMATE_MARGIN - targetMs);
     }
 
-    /** Fetching is worth it when it takes less time than reading. */
+    /** Returns the fetch of the parts that an engine lacks, if it takes less time than their prefill. */
     private static Fetch fetch(
-            RelayEndpoint candidate, SelectionContext wanted, int warm, Keeper keeper, EngineLoad load) {
-        boolean can = wanted.spec().map(EngineSpec::canFetch).orElse(false)
-                && keeper.endpoint() != null
-                && keeper.endpoint() != candidate
-                && keeper.parts() > warm;
-        if (!can) {
+            RelayEndpoint candidate,
+            SelectionContext context,
+            int cachedParts,
+            CacheHolder cacheHolder,
+            EngineLoad load) {
+        boolean possible = context.spec().map(EngineSpec::canFetch).orElse(false)
+                && cacheHolder.endpoint() != null
+                && cacheHolder.endpoint() != candidate
+                && cacheHolder.parts() > cachedParts;
+        if (!possible) {
             return Fetch.NONE;
         }
-        Prompt prompt = wanted.prompt();
-        int tokens = prompt.tokensFrom(warm) - prompt.tokensFrom(keeper.parts());
-        String keeperDomain = keeper.endpoint().identity().failureDomain();
-        boolean near = keeperDomain.equals(candidate.identity().failureDomain());
-        double takesMs = FETCH_SETUP_MS + wanted.spec().get().fetchMs(tokens) * (near ? 1 : FAR_FETCH);
-        return takesMs < load.prefillMs(tokens) ? new Fetch(keeper.endpoint(), tokens, takesMs) : Fetch.NONE;
+        Prompt prompt = context.prompt();
+        int tokens = prompt.tokensFrom(cachedParts) - prompt.tokensFrom(cacheHolder.parts());
+        String holderDomain = cacheHolder.endpoint().identity().failureDomain();
+        boolean sameDomain = holderDomain.equals(candidate.identity().failureDomain());
+        double durationMs =
+                FETCH_SETUP_MS + context.spec().get().fetchMs(tokens) * (sameDomain ? 1 : REMOTE_FETCH_FACTOR);
+        return durationMs < load.prefillMs(tokens) ? new Fetch(cacheHolder.endpoint(), tokens, durationMs) : Fetch.NONE;
     }
 
-    /** Returns the engine that all boxes prefer for the last part that may be shared. */
+    /** Returns the engine that all boxes prefer for the last shared part of a prompt, by rendezvous hashing. */
     static String preferredEngine(List<RelayEndpoint> candidates, Prompt prompt) {
         if (prompt.shared().isEmpty()) {
             return "";
@@ -202,26 +226,26 @@
         return RendezvousHash.top(prompt.shared(), ids, 1).get(0);
     }
 
-    /** Records the time that the first answer of an engine took. */
-    void recordFirstAnswer(RelayEndpoint engine, EngineEstimate expected, long tookMs) {
+    /** Records the time that the first response of an engine took. */
+    void recordFirstAnswer(RelayEndpoint engine, EngineEstimate estimate, long tookMs) {
         EngineLoad load = loads.get(engine.id());
         if (load != null && load.incarnation() == engine.identity().incarnation()) {
-            load.recordFirstAnswer(expected, tookMs);
+            load.recordFirstAnswer(estimate, tookMs);
         }
     }
 
-    /** Drops what is known of engines that are gone. */
+    /** Removes the data of engines that are no longer listed. */
     void retain(Set<String> endpointIds) {
         loads.keySet().retainAll(endpointIds);
     }
 
-    /** An engine that started again under its identifier has none of the load that it had. */
+    /** Returns the load of an engine; a restarted engine begins without the load of its previous incarnation. */
     private EngineLoad loadOf(RelayEndpoint engine, Optional<EngineSpec> spec) {
         EngineLoad known = loads.get(engine.id());
         if (known == null || known.incarnation() != engine.identity().incarnation()) {
             EngineSpeed speed = speeds.computeIfAbsent(engine.identity().service(), service -> new EngineSpeed());
-            long memoryTokens = spec.map(EngineSpec::cacheCapacityTokens).orElse(ASSUMED_MEMORY_TOKENS);
-            known = new EngineLoad(engine.identity().incarnation(), speed, new PrefixCacheModel(memoryTokens));
+            long cacheTokens = spec.map(EngineSpec::cacheCapacityTokens).orElse(DEFAULT_CACHE_TOKENS);
+            known = new EngineLoad(engine.identity().incarnation(), speed, new PrefixCacheModel(cacheTokens));
             loads.put(engine.id(), known);
         }
         return known;
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineSelector.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSelector.java
@@ -29,112 +29,118 @@
 import org.wingstall.schema.peer.EngineOutcome;
 
 /**
- * Has the engine of each prompt chosen by the box that chooses for the whole fleet, since boxes that each know only their own
- * requests crowd some engines and leave others idle. Without word from that box this one chooses by what it knows itself. What
- * the chooser knows is a hint; a request is sent, and never twice, by its own box. Confined to the request loop.
+ * Selects the engine of each prompt by asking the coordinator, the box that selects for the whole fleet, since boxes
+ * that each know only their own requests overload some engines and leave others idle. When the coordinator doesn't
+ * respond, this box selects an engine from its own data. The coordinator's data are only a hint: each request is sent
+ * by its own box, and never twice. Confined to the request loop.
  *
- * <p>{@code broker.choose(new SelectionRequest("wingstall-llm", candidates, prompt, inputs, 900), receiver);}
+ * <p>{@code selector.choose(new SelectionRequest("wingstall-llm", candidates, prompt, inputs, 900), listener);}
  *
  * @since 0.4
  */
 public final class EngineSelector implements EngineHost {
-    /** Longest wait for the choice of another box, in ms: ten ways there and back on a calm day. */
-    private static final long ASK_MS = 40;
+    /** Timeout of a request to the coordinator, in ms: ten round trips under normal load. */
+    private static final long COORDINATOR_TIMEOUT_MS = 40;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final EngineLinks links;
-    private final CoordinatorSelector choosers;
+    private final CoordinatorSelector coordinators;
     private final RelayEndpoints endpoints;
-    private final Consumer<RelayEndpoint> doubted;
+    private final Consumer<RelayEndpoint> suspects;
     private final Function<String, Optional<EngineSpec>> specs;
     private final RelayMetrics metrics;
-    private final EngineLoadBalancer ledger;
+    private final EngineLoadBalancer loadBalancer;
     private final SendLimits limits;
-    private final UnreachableReports silences;
+    private final UnreachableReports unreachableReports;
     private final Map<String, FirstAnswerTimes> firstAnswers = new HashMap<>();
-    private final Map<Long, Pending> pending = new HashMap<>();
+    private final Map<Long, PendingSelection> pending = new HashMap<>();
     private long nextCorrelation = 1;
 
     /**
-     * An engine that is wanted.
+     * Describes the prompt for which an engine is wanted.
      *
-     * @param service service of the engines
-     * @param candidates engines that may take the prompt, at least one
+     * @param service name of the engines' service
+     * @param candidates engines that can take the prompt, at least one
      * @param prompt the prompt
-     * @param inputs where its inputs lie
-     * @param targetMs time left until its first answer is wanted, in ms
+     * @param inputs where its inputs are stored
+     * @param targetMs time until its first response is wanted, in ms
      */
     public record SelectionRequest(
             String service, List<RelayEndpoint> candidates, Prompt prompt, InputLocation inputs, long targetMs) {}
 
-    /** A question that another box was asked, and who waits for the choice. */
-    private record Pending(
-            SelectionRequest question, String chooser, SelectionListener receiver, ScheduledFuture<?> timeout) {}
+    /** A request to the coordinator whose response is outstanding. */
+    private record PendingSelection(
+            SelectionRequest request, String coordinator, SelectionListener listener, ScheduledFuture<?> timeout) {}
 
-    /** Takes the choice of an engine, once. */
+    /** Receives the result of a selection, once. */
     public interface SelectionListener {
-        /** An engine was chosen. */
-        void chosen(EngineAssignment ticket);
+        /** Called when an engine was selected. */
+        void chosen(EngineAssignment assignment);
 
-        /** All engines that could take the prompt have reduced capacity, which is used up; one may take it after so many ms. */
-        void noneAvailable(long againMs);
+        /**
+         * Called when all candidates have reduced capacity, which is used up; a request may be sent after {@code
+         * retryAfterMs}.
+         */
+        void noneAvailable(long retryAfterMs);
     }
 
     /**
-     * Creates a broker.
+     * Creates a selector without any knowledge of engines.
      *
      * @param loop the request loop
      * @param clock monotonic clock
-     * @param links what boxes say to each other about engines
-     * @param choosers says which box chooses for a service
+     * @param links sends messages about engines to other boxes
+     * @param coordinators decides which box is the coordinator of a service
      * @param endpoints endpoints of all services
-     * @param specs what the engines of a service can do, where the configuration says so
-     * @param limits bounds requests to engines with reduced capacity
-     * @param doubted takes an engine that another box could not reach, to ask it
-     * @param limited whether an engine states a limit, so that others don't fetch from it
-     * @param metrics counts choices
+     * @param specs properties of the engines of a service, where configured
+     * @param limits limits the requests to engines with reduced capacity
+     * @param suspects takes an engine that another box could not reach, to query its state
+     * @param rateLimited whether an engine advertises a limit, so that others don't fetch from it
+     * @param metrics counts the selections
      */
     public EngineSelector(
             EventLoop loop,
             MonotonicClock clock,
             EngineLinks links,
-            CoordinatorSelector choosers,
+            CoordinatorSelector coordinators,
             RelayEndpoints endpoints,
             Function<String, Optional<EngineSpec>> specs,
             SendLimits limits,
-            Consumer<RelayEndpoint> doubted,
-            Predicate<RelayEndpoint> limited,
+            Consumer<RelayEndpoint> suspects,
+            Predicate<RelayEndpoint> rateLimited,
             RelayMetrics metrics) {
         this.loop = loop;
         this.clock = clock;
         this.links = links;
-        this.choosers = choosers;
+        this.coordinators = coordinators;
         this.endpoints = endpoints;
         this.specs = specs;
         this.limits = limits;
-        this.doubted = doubted;
+        this.suspects = suspects;
         this.metrics = metrics;
-        this.ledger = new EngineLoadBalancer(clock, limited);
-        this.silences = new UnreachableReports(clock);
+        this.loadBalancer = new EngineLoadBalancer(clock, rateLimited);
+        this.unreachableReports = new UnreachableReports(clock);
     }
 
     /**
-     * Has an engine chosen.
+     * Selects an engine for a prompt.
      *
-     * @param question what is wanted
-     * @param receiver takes the choice, now or soon
+     * @param request the prompt and its candidates
+     * @param listener receives the result, during the call or later
      */
-    public void choose(SelectionRequest question, SelectionListener receiver) {
-        String chooser = choosers.coordinatorOf(question.service());
-        if (chooser == null) {
-            chooseHere("this-box", question, receiver, SelectionMode.COORDINATOR);
-        } else if (!ask(chooser, question, receiver)) {
-            chooseHere("this-box", question, receiver, SelectionMode.FALLBACK);
+    public void choose(SelectionRequest request, SelectionListener listener) {
+        String coordinator = coordinators.coordinatorOf(request.service());
+        if (coordinator == null) {
+            chooseLocally("this-box", request, listener, SelectionMode.COORDINATOR);
+        } else if (!askCoordinator(coordinator, request, listener)) {
+            chooseLocally("this-box", request, listener, SelectionMode.FALLBACK);
         }
     }
 
-    /** Returns the time within which most prompts like this one get a first sign of an answer at a service, in ms. */
+    /**
+     * Returns the time within which most prompts like this one get the first event of a response from a service, in ms.
+     */
     public long firstAnswerMs(String service, Prompt prompt) {
         return firstAnswersOf(service).meanPlusDeviationMs(prompt.ownTokens());
     }
@@ -143,14 +149,19 @@
         return firstAnswers.computeIfAbsent(service, name -> new FirstAnswerTimes());
     }
 
-    /** An engine that is cold or in need is slow for a reason that passes, so nothing is learned from it. */
-    private void learn(EngineAssignment ticket, long firstAnswerMs) {
+    /**
+     * Records the time of a first response, except of an engine that is cold or limited: it is slow for a temporary
+     * reason.
+     */
+    private void recordFirstAnswer(EngineAssignment ticket, long firstAnswerMs) {
         if (firstAnswerMs >= 0 && !limits.limited(ticket.endpoint())) {
             firstAnswersOf(ticket.endpoint().identity().service()).record(ticket.ownTokens(), firstAnswerMs);
         }
     }
 
-    /** Returns the failure domain where a prompt's shared parts are at home; empty when it has none. */
+    /**
+     * Returns the failure domain of the preferred engine for a prompt's shared parts; an empty string when it has none.
+     */
     public String preferredDomain(List<RelayEndpoint> candidates, Prompt prompt) {
         String home = candidates.isEmpty() ? "" : EngineLoadBalancer.preferredEngine(candidates, prompt);
         return candidates.stream()
@@ -160,59 +171,61 @@
                 .orElse("");
     }
 
-    private void chooseHere(String why, SelectionRequest question, SelectionListener receiver, SelectionMode chooser) {
-        List<RelayEndpoint> open = limits.withinLimits(question.candidates(), chooser);
-        if (open.isEmpty()) {
+    private void chooseLocally(
+            String reason, SelectionRequest request, SelectionListener listener, SelectionMode mode) {
+        List<RelayEndpoint> available = limits.withinLimits(request.candidates(), mode);
+        if (available.isEmpty()) {
             metrics.recordEngineChoice("none-open");
-            receiver.noneAvailable(limits.retryAfterMs(question.candidates(), chooser));
+            listener.noneAvailable(limits.retryAfterMs(request.candidates(), mode));
             return;
         }
-        metrics.recordEngineChoice(why);
-        EngineLoadBalancer.Choice choice = give(new EngineLoadBalancer.SelectionContext(
-                open, question.prompt(), question.inputs(), question.targetMs(), specs.apply(question.service())));
-        int ownTokens = question.prompt().ownTokens();
-        receiver.chosen(new EngineAssignment(choice, null, ownTokens, clock, this::endedHere));
+        metrics.recordEngineChoice(reason);
+        EngineLoadBalancer.Choice choice = assign(new EngineLoadBalancer.SelectionContext(
+                available, request.prompt(), request.inputs(), request.targetMs(), specs.apply(request.service())));
+        int ownTokens = request.prompt().ownTokens();
+        listener.chosen(new EngineAssignment(choice, null, ownTokens, clock, this::recordOutcome));
     }
 
-    private EngineLoadBalancer.Choice give(EngineLoadBalancer.SelectionContext wanted) {
-        EngineLoadBalancer.Choice choice = ledger.choose(wanted);
+    private EngineLoadBalancer.Choice assign(EngineLoadBalancer.SelectionContext context) {
+        EngineLoadBalancer.Choice choice = loadBalancer.choose(context);
         limits.recordSend(choice.endpoint());
         return choice;
     }
 
-    private boolean ask(String chooser, SelectionRequest question, SelectionListener receiver) {
+    private boolean askCoordinator(String coordinator, SelectionRequest request, SelectionListener listener) {
         long correlation = nextCorrelation++;
-        if (!links.ask(chooser, correlation, encode(question))) {
+        if (!links.ask(coordinator, correlation, encode(request))) {
             return false;
         }
-        ScheduledFuture<?> timeout = loop.schedule(() -> late(correlation), ASK_MS, TimeUnit.MILLISECONDS);
-        pending.put(correlation, new Pending(question, chooser, receiver, timeout));
+        ScheduledFuture<?> timeout =
+                loop.schedule(() -> timedOut(correlation), COORDINATOR_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        pending.put(correlation, new PendingSelection(request, coordinator, listener, timeout));
         return true;
     }
 
-    private EngineAsk encode(SelectionRequest question) {
-        Set<String> wanted =
-                question.candidates().stream().map(RelayEndpoint::id).collect(Collectors.toSet());
-        List<String> excluded = endpoints.ofService(question.service()).stream()
+    private EngineAsk encode(SelectionRequest request) {
+        Set<String> candidateIds =
+                request.candidates().stream().map(RelayEndpoint::id).collect(Collectors.toSet());
+        List<String> excluded = endpoints.ofService(request.service()).stream()
                 .map(RelayEndpoint::id)
-                .filter(id -> !wanted.contains(id))
+                .filter(id -> !candidateIds.contains(id))
                 .toList();
-        Prompt prompt = question.prompt();
+        Prompt prompt = request.prompt();
         return new EngineAsk(
-                question.service(),
+                request.service(),
                 prompt.shared(),
                 prompt.digests(),
                 prompt.tokens(),
-                question.inputs().failureDomain(),
+                request.inputs().failureDomain(),
                 excluded,
-                question.inputs().bytes(),
-                question.targetMs());
+                request.inputs().bytes(),
+                request.targetMs());
     }
 
-    private void late(long correlation) {
-        Pending waiting = pending.remove(correlation);
-        if (waiting != null) {
-            chooseHere("late", waiting.question(), waiting.receiver(), SelectionMode.FALLBACK);
+    private void timedOut(long correlation) {
+        PendingSelection selection = pending.remove(correlation);
+        if (selection != null) {
+            chooseLocally("late", selection.request(), selection.listener(), SelectionMode.FALLBACK);
         }
     }
 
@@ -222,8 +235,8 @@
                 .filter(RelayEndpoint::usable)
                 .filter(endpoint -> !ask.getExcluded().contains(endpoint.id()))
                 .toList();
-        List<RelayEndpoint> open = limits.withinLimits(candidates, SelectionMode.COORDINATOR);
-        if (open.isEmpty()) {
+        List<RelayEndpoint> available = limits.withinLimits(candidates, SelectionMode.COORDINATOR);
+        if (available.isEmpty()) {
             long againMs =
                     candidates.isEmpty() ? 0 : Math.max(1, limits.retryAfterMs(candidates, SelectionMode.COORDINATOR));
             links.tellChoice(boxId, correlation, new EngineChoice("", 0, 0, 0, null, againMs));
@@ -234,68 +247,68 @@
         links.tellChoice(
                 boxId,
                 correlation,
-                encode(give(new EngineLoadBalancer.SelectionContext(
-                        open, prompt, inputs, ask.getTargetMs(), specs.apply(ask.getService())))));
+                encode(assign(new EngineLoadBalancer.SelectionContext(
+                        available, prompt, inputs, ask.getTargetMs(), specs.apply(ask.getService())))));
     }
 
     private static EngineChoice encode(EngineLoadBalancer.Choice choice) {
-        EngineEstimate expected = choice.estimate();
+        EngineEstimate estimate = choice.estimate();
         String fetchFrom = choice.fetchFrom() == null ? null : Addresses.format(choice.fetchFrom());
         return new EngineChoice(
                 choice.endpoint().id(),
-                (int) expected.firstAnswerMs(),
-                expected.waitMs(),
-                expected.prefillTokens(),
+                (int) estimate.firstAnswerMs(),
+                estimate.waitMs(),
+                estimate.prefillTokens(),
                 fetchFrom,
                 0);
     }
 
     @Override
     public void chosen(String boxId, long correlation, EngineChoice choice) {
-        Pending waiting = pending.get(correlation);
-        if (waiting == null || !waiting.chooser().equals(boxId)) {
+        PendingSelection selection = pending.get(correlation);
+        if (selection == null || !selection.coordinator().equals(boxId)) {
             return;
         }
         pending.remove(correlation);
-        waiting.timeout().cancel(false);
+        selection.timeout().cancel(false);
         if (choice.getAgainMs() > 0) {
             metrics.recordEngineChoice("none-open");
-            waiting.receiver().noneAvailable(choice.getAgainMs());
+            selection.listener().noneAvailable(choice.getAgainMs());
             return;
         }
-        Optional<RelayEndpoint> endpoint = waiting.question().candidates().stream()
+        Optional<RelayEndpoint> endpoint = selection.request().candidates().stream()
                 .filter(candidate -> candidate.id().equals(choice.getEndpoint()))
                 .findFirst();
         if (endpoint.isEmpty()) {
-            chooseHere("chooser-without", waiting.question(), waiting.receiver(), SelectionMode.FALLBACK);
+            chooseLocally("chooser-without", selection.request(), selection.listener(), SelectionMode.FALLBACK);
             return;
         }
         metrics.recordEngineChoice("chooser");
-        EngineEstimate expected =
+        EngineEstimate estimate =
                 new EngineEstimate(choice.getExpectedMs(), choice.getWaitMs(), choice.getReadTokens());
         InetSocketAddress fetchFrom = choice.getFetchFrom() == null ? null : Addresses.parse(choice.getFetchFrom());
-        EngineLoadBalancer.Choice made = new EngineLoadBalancer.Choice(endpoint.get(), expected, fetchFrom);
-        int ownTokens = waiting.question().prompt().ownTokens();
-        waiting.receiver().chosen(new EngineAssignment(made, boxId, ownTokens, clock, this::endedElsewhere));
+        EngineLoadBalancer.Choice selected = new EngineLoadBalancer.Choice(endpoint.get(), estimate, fetchFrom);
+        int ownTokens = selection.request().prompt().ownTokens();
+        selection.listener().chosen(new EngineAssignment(selected, boxId, ownTokens, clock, this::reportOutcome));
     }
 
-    private void endedElsewhere(EngineAssignment ticket, long firstAnswerMs) {
-        learn(ticket, firstAnswerMs);
-        EngineEstimate expected = ticket.estimate();
+    private void reportOutcome(EngineAssignment ticket, long firstAnswerMs) {
+        recordFirstAnswer(ticket, firstAnswerMs);
+        EngineEstimate estimate = ticket.estimate();
         links.tellOutcome(
                 ticket.coordinator(),
                 new EngineOutcome(
                         ticket.endpoint().id(),
-                        (int) expected.firstAnswerMs(),
+                        (int) estimate.firstAnswerMs(),
                         (int) firstAnswerMs,
-                        expected.waitMs(),
-                        expected.prefillTokens()));
+                        estimate.waitMs(),
+                        estimate.prefillTokens()));
     }
 
-    private void endedHere(EngineAssignment ticket, long firstAnswerMs) {
-        learn(ticket, firstAnswerMs);
+    private void recordOutcome(EngineAssignment ticket, long firstAnswerMs) {
+        recordFirstAnswer(ticket, firstAnswerMs);
         if (firstAnswerMs >= 0 && !limits.limited(ticket.endpoint())) {
-            ledger.recordFirstAnswer(ticket.endpoint(), ticket.estimate(), firstAnswerMs);
+            loadBalancer.recordFirstAnswer(ticket.endpoint(), ticket.estimate(), firstAnswerMs);
         }
     }
 
@@ -303,22 +316,22 @@
     public void ended(String boxId, EngineOutcome outcome) {
         String id = outcome.getEndpoint();
         if (outcome.getFirstAnswerMs() >= 0) {
-            silences.answered(id);
-            EngineEstimate expected =
+            unreachableReports.answered(id);
+            EngineEstimate estimate =
                     new EngineEstimate(outcome.getExpectedMs(), outcome.getWaitMs(), outcome.getReadTokens());
             endpoints
                     .find(id)
                     .filter(engine -> !limits.limited(engine))
-                    .ifPresent(engine -> ledger.recordFirstAnswer(engine, expected, outcome.getFirstAnswerMs()));
-        } else if (silences.confirms(id, boxId)) {
+                    .ifPresent(engine -> loadBalancer.recordFirstAnswer(engine, estimate, outcome.getFirstAnswerMs()));
+        } else if (unreachableReports.confirms(id, boxId)) {
             endpoints.find(id).ifPresent(endpoint -> endpoint.recordNoAnswer("two boxes could not reach it"));
         } else {
-            endpoints.find(id).ifPresent(doubted);
+            endpoints.find(id).ifPresent(suspects);
         }
     }
 
-    /** Drops what is known of engines that are gone. */
+    /** Removes the data of engines that are no longer listed. */
     public void endpointsChanged() {
-        ledger.retain(endpoints.all().stream().map(RelayEndpoint::id).collect(Collectors.toSet()));
+        loadBalancer.retain(endpoints.all().stream().map(RelayEndpoint::id).collect(Collectors.toSet()));
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
@@ -3,44 +3,50 @@
 import org.wingstall.core.estimate.OnlineLinearRegression;
 
 /**
- * How fast the engines of one service are, learned from the times of their first answers. Confined to the request loop.
+ * Estimates the speed of one service's engines from the times of their first responses. Confined to the request loop.
  */
 final class EngineSpeed {
-    /** Time until the first event of a prompt that is read at once, assumed until answers tell, in ms. */
-    private static final double ASSUMED_FIRST_STEPS_MS = 60;
+    /**
+     * Initial value for the time from the end of the prefill to the first event, in ms, used until responses have been
+     * measured.
+     */
+    private static final double INITIAL_FIRST_DECODE_MS = 60;
 
-    /** Prompt tokens read in a millisecond, assumed until answers tell; engines of today read 38 to 61. */
-    private static final double ASSUMED_TOKENS_PER_MS = 50;
+    /**
+     * Initial value for the prefill rate, in tokens per ms, used until responses have been measured; current engines
+     * reach 38 to 61.
+     */
+    private static final double INITIAL_TOKENS_PER_MS = 50;
 
-    /** A prompt as long as many are, in tokens. */
-    private static final double USUAL_TOKENS = 4000;
+    /** Typical length of a prompt, in tokens. */
+    private static final double TYPICAL_TOKENS = 4000;
 
     /**
-     * What each request that runs there adds to the first steps of the next one, as a part of them: each step gets a little
-     * longer with the requests that share it.
+     * Slowdown of the first decode steps per running request, as a fraction: each step takes a little longer with each
+     * request that shares it.
      */
-    private static final double BESIDE_PART = 1.0 / 15;
+    private static final double CONCURRENCY_PENALTY = 1.0 / 15;
 
     private final OnlineLinearRegression firstAnswer =
-            new OnlineLinearRegression(ASSUMED_FIRST_STEPS_MS, 1 / ASSUMED_TOKENS_PER_MS, USUAL_TOKENS);
+            new OnlineLinearRegression(INITIAL_FIRST_DECODE_MS, 1 / INITIAL_TOKENS_PER_MS, TYPICAL_TOKENS);
 
-    /** Records a first answer, without the time that the prompt waited for others. */
-    void recordFirstAnswer(int readTokens, long tookMs) {
-        firstAnswer.observe(readTokens, tookMs);
+    /** Records the time of a first response, without the time that the prompt waited for others. */
+    void recordFirstAnswer(int prefillTokens, long tookMs) {
+        firstAnswer.observe(prefillTokens, tookMs);
     }
 
-    /** Returns the time to read so many tokens, in ms. */
+    /** Returns the estimated prefill time of a number of tokens, in ms. */
     double prefillMs(int tokens) {
         return firstAnswer.slope() * tokens;
     }
 
-    /** Returns the time from the end of reading to the first event, in ms. */
+    /** Returns the estimated time from the end of the prefill to the first event, in ms. */
     double firstDecodeMs() {
         return firstAnswer.intercept();
     }
 
-    /** Returns what a request that runs there costs the next one, in ms. */
+    /** Returns the time that each running request adds to the first event of the next one, in ms. */
     double concurrencyPenaltyMs() {
-        return firstDecodeMs() * BESIDE_PART;
+        return firstDecodeMs() * CONCURRENCY_PENALTY;
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
@@ -3,39 +3,39 @@
 import org.wingstall.core.estimate.OnlineLinearRegression;
 
 /**
- * How long this box's requests wait for the first sign of an answer once they are sent, by the tokens of their own part.
- * Confined to the request loop.
+ * Estimates how long this box's requests wait for the first event of a response after they are sent, from the number of
+ * tokens in their own part. Confined to the request loop.
  */
 final class FirstAnswerTimes {
-    /** Assumed until answers tell, in ms. */
-    private static final double ASSUMED_BASE_MS = 150;
+    /** Initial value for the time of a request without tokens, in ms, used until responses have been measured. */
+    private static final double INITIAL_BASE_MS = 150;
 
-    /** Assumed growth with the tokens of a request's own part, in ms a token. */
-    private static final double ASSUMED_MS_PER_TOKEN = 0.02;
+    /** Initial value for the time per token of a request's own part, in ms. */
+    private static final double INITIAL_MS_PER_TOKEN = 0.02;
 
-    /** A request's own part as long as many are, in tokens. */
-    private static final double USUAL_TOKENS = 2000;
+    /** Typical length of a request's own part, in tokens. */
+    private static final double TYPICAL_TOKENS = 2000;
 
-    /** Weight of a new deviation in the mean; some twenty answers settle it. */
-    private static final double NEW_WEIGHT = 0.08;
+    /** Weight of a new sample in the mean deviation, which converges within about twenty responses. */
+    private static final double SAMPLE_WEIGHT = 0.08;
 
-    /** FleetBudget of the expected time by which one answer may move the mean deviation at most, so that a stall does not. */
-    private static final double MOST_DEVIATION = 1;
+    /** Upper limit of one sample, as a fraction of the expected time, so that a stall hardly moves the mean. */
+    private static final double MAX_DEVIATION = 1;
 
     private final OnlineLinearRegression trend =
-            new OnlineLinearRegression(ASSUMED_BASE_MS, ASSUMED_MS_PER_TOKEN, USUAL_TOKENS);
-    private double deviationMs;
+            new OnlineLinearRegression(INITIAL_BASE_MS, INITIAL_MS_PER_TOKEN, TYPICAL_TOKENS);
+    private double meanDeviationMs;
 
-    /** Records the time that a first answer took. */
+    /** Records the time that a first response took. */
     void record(int ownTokens, long tookMs) {
         double expectedMs = trend.predict(ownTokens);
-        double offMs = Math.min(MOST_DEVIATION * expectedMs, Math.abs(tookMs - expectedMs));
-        deviationMs += NEW_WEIGHT * (offMs - deviationMs);
+        double deviationMs = Math.min(MAX_DEVIATION * expectedMs, Math.abs(tookMs - expectedMs));
+        meanDeviationMs += SAMPLE_WEIGHT * (deviationMs - meanDeviationMs);
         trend.observe(ownTokens, tookMs);
     }
 
-    /** Returns the time within which most first answers come, in ms. */
+    /** Returns the time within which most first responses arrive, in ms. */
     long meanPlusDeviationMs(int ownTokens) {
-        return Math.round(trend.predict(ownTokens) + deviationMs);
+        return Math.round(trend.predict(ownTokens) + meanDeviationMs);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/engine/PrefixCacheModel.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/PrefixCacheModel.java
@@ -6,41 +6,43 @@
 import java.util.Map;
 
 /**
- * The parts of prompts that an engine likely keeps, by what it was given: the parts unused longest give way. Confined to the
- * request loop.
+ * Models which parts of prompts an engine has likely cached, from the prompts assigned to it: the least recently used
+ * parts are evicted first. Confined to the request loop.
  */
 final class PrefixCacheModel {
     private final long capacityTokens;
-    private final LinkedHashMap<Long, Kept> parts = new LinkedHashMap<>(16, 0.75f, true);
-    private long keptTokens;
+    private final LinkedHashMap<Long, CachedPart> parts = new LinkedHashMap<>(16, 0.75f, true);
+    private long cachedTokens;
 
     /**
-     * A part that is kept.
+     * A cached part of a prompt.
      *
-     * @param tokens its length
-     * @param readAtMs when it has been read, in ms of the monotonic clock
+     * @param tokens its length in tokens
+     * @param prefilledAtMs when its prefill is done, in ms of the monotonic clock
      */
-    private record Kept(int tokens, long readAtMs) {}
+    private record CachedPart(int tokens, long prefilledAtMs) {}
 
     PrefixCacheModel(long capacityTokens) {
         this.capacityTokens = capacityTokens;
     }
 
-    /** Returns how many leading parts of a prompt were given to the engine. */
+    /** Returns how many leading parts of a prompt were assigned to the engine. */
     int assignedParts(Prompt prompt) {
-        return leading(prompt, Long.MAX_VALUE);
+        return leadingParts(prompt, Long.MAX_VALUE);
     }
 
-    /** Returns how many leading parts of a prompt the engine has read by now, so that others can fetch them. */
+    /**
+     * Returns how many leading parts of a prompt the engine has prefilled by now, so that other engines can fetch them.
+     */
     int prefilledParts(Prompt prompt, long nowMs) {
-        return leading(prompt, nowMs);
+        return leadingParts(prompt, nowMs);
     }
 
-    private int leading(Prompt prompt, long readByMs) {
+    private int leadingParts(Prompt prompt, long prefilledByMs) {
         int leading = 0;
         for (long digest : prompt.digests()) {
-            Kept kept = parts.get(digest);
-            if (kept == null || kept.readAtMs() > readByMs) {
+            CachedPart part = parts.get(digest);
+            if (part == null || part.prefilledAtMs() > prefilledByMs) {
                 return leading;
             }
             leading++;
@@ -48,23 +50,23 @@
         return leading;
     }
 
-    /** Records that the engine is given a prompt and has read it at a time. */
-    void add(Prompt prompt, long readAtMs) {
+    /** Adds the parts of a prompt that is assigned to the engine, whose prefill will be done at the given time. */
+    void add(Prompt prompt, long prefilledAtMs) {
         List<Long> digests = prompt.digests();
         for (int i = 0; i < digests.size(); i++) {
-            Kept before = parts.get(digests.get(i));
-            if (before == null) {
-                parts.put(digests.get(i), new Kept(prompt.tokens().get(i), readAtMs));
-                keptTokens += prompt.tokens().get(i);
+            CachedPart cached = parts.get(digests.get(i));
+            if (cached == null) {
+                parts.put(digests.get(i), new CachedPart(prompt.tokens().get(i), prefilledAtMs));
+                cachedTokens += prompt.tokens().get(i);
             }
         }
-        dropOldest();
+        evictOldest();
     }
 
-    private void dropOldest() {
-        Iterator<Map.Entry<Long, Kept>> oldest = parts.entrySet().iterator();
-        while (keptTokens > capacityTokens && oldest.hasNext()) {
-            keptTokens -= oldest.next().getValue().tokens();
+    private void evictOldest() {
+        Iterator<Map.Entry<Long, CachedPart>> oldest = parts.entrySet().iterator();
+        while (cachedTokens > capacityTokens && oldest.hasNext()) {
+            cachedTokens -= oldest.next().getValue().tokens();
             oldest.remove();
         }
     }
--- a/relay/src/main/java/org/wingstall/relay/engine/Prompt.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/Prompt.java
@@ -5,13 +5,13 @@
 import org.wingstall.relay.wire.RelayRequest.PromptPart;
 
 /**
- * A prompt as the choice of an engine sees it.
+ * Describes a prompt with the data that the selection of an engine needs.
  *
- * <p>{@code Prompt prompt = Prompt.of(request.prompt()); prompt.tokensFrom(memory.given(prompt))}
+ * <p>{@code Prompt prompt = Prompt.of(request.prompt()); prompt.tokensFrom(cache.assignedParts(prompt))}
  *
- * @param shared identifier of the last part that other requests may share; empty when there is none
- * @param digests digest of each part and all parts before it
- * @param tokens tokens of each part
+ * @param shared identifier of the last part that other requests may share; an empty string when there is none
+ * @param digests for each part, a digest of it and all parts before it
+ * @param tokens number of tokens of each part
  * @since 0.4
  */
 public record Prompt(String shared, List<Long> digests, List<Integer> tokens) {
@@ -38,7 +38,7 @@
                 shared, List.of(digests), parts.stream().map(PromptPart::tokens).toList());
     }
 
-    /** Returns the tokens of a part and of all after it. */
+    /** Returns the number of tokens in a part and all parts after it. */
     int tokensFrom(int part) {
         int sum = 0;
         for (int i = part; i < tokens.size(); i++) {
@@ -47,7 +47,7 @@
         return sum;
     }
 
-    /** Returns the tokens of the part that is the request's own. */
+    /** Returns the number of tokens in the request's own part. */
     int ownTokens() {
         return tokens.isEmpty() ? 0 : tokens.get(tokens.size() - 1);
     }
--- a/relay/src/main/java/org/wingstall/relay/engine/UnreachableReports.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/UnreachableReports.java
@@ -5,15 +5,18 @@
 import org.wingstall.core.time.MonotonicClock;
 
 /**
- * Tells an engine that is silent from a box whose own links are broken: it takes two boxes to say so. Confined to the request
- * loop.
+ * Collects reports of unreachable engines from boxes. An engine counts as unreachable once two boxes report it, since
+ * one box may have broken links of its own. Confined to the request loop.
  */
 final class UnreachableReports {
-    /** Time within which the second box has to say so, in ms; boxes of a large fleet reach an engine a few times a second. */
-    private static final long TOGETHER_MS = 1500;
+    /**
+     * Time within which the second report has to arrive, in ms; in a large fleet an engine is called a few times per
+     * second.
+     */
+    private static final long CONFIRM_WITHIN_MS = 1500;
 
     private final MonotonicClock clock;
-    private final Map<String, Report> last = new HashMap<>();
+    private final Map<String, Report> lastReports = new HashMap<>();
 
     private record Report(String boxId, long atMs) {}
 
@@ -21,15 +24,15 @@
         this.clock = clock;
     }
 
-    /** Records a report; returns whether another box said the same lately. */
+    /** Records a report; returns whether another box reported the same recently. */
     boolean confirms(String endpointId, String boxId) {
         long nowMs = clock.nowMs();
-        Report before = last.put(endpointId, new Report(boxId, nowMs));
-        return before != null && !before.boxId().equals(boxId) && nowMs - before.atMs() <= TOGETHER_MS;
+        Report before = lastReports.put(endpointId, new Report(boxId, nowMs));
+        return before != null && !before.boxId().equals(boxId) && nowMs - before.atMs() <= CONFIRM_WITHIN_MS;
     }
 
-    /** Records that an engine answered. */
+    /** Records that an engine responded. */
     void answered(String endpointId) {
-        last.remove(endpointId);
+        lastReports.remove(endpointId);
     }
 }
--- a/relay/src/test/java/org/wingstall/relay/engine/EngineLoadBalancerTest.java
+++ b/relay/src/test/java/org/wingstall/relay/engine/EngineLoadBalancerTest.java
@@ -19,11 +19,11 @@
 import org.wingstall.relay.wire.RelayRequest.PromptPart;
 import org.wingstall.schema.platform.Member;
 
-/** Which engine is chosen for a prompt, by what all of them were given. */
+/** Tests which engine is selected for a prompt, depending on the prompts assigned to all of them. */
 public class EngineLoadBalancerTest {
     private long nowMs;
     private RelayEndpoints endpoints;
-    private EngineLoadBalancer ledger;
+    private EngineLoadBalancer loadBalancer;
     private int prompts;
 
     @BeforeMethod
@@ -33,7 +33,7 @@
         endpoints.applyList(Stream.of("a", "b", "c", "d")
                 .map(EngineLoadBalancerTest::engine)
                 .toList());
-        ledger = new EngineLoadBalancer(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), engine -> false);
+        loadBalancer = new EngineLoadBalancer(() -> TimeUnit.MILLISECONDS.toNanos(nowMs), engine -> false);
     }
 
     private static Member engine(String id) {
@@ -52,11 +52,12 @@
     }
 
     private EngineLoadBalancer.Choice choose(List<RelayEndpoint> engines, Prompt prompt, InputLocation inputs) {
-        return ledger.choose(new EngineLoadBalancer.SelectionContext(engines, prompt, inputs, 1000, Optional.empty()));
+        return loadBalancer.choose(
+                new EngineLoadBalancer.SelectionContext(engines, prompt, inputs, 1000, Optional.empty()));
     }
 
     private void answeredLate(String id) {
-        ledger.recordFirstAnswer(endpoints.find(id).orElseThrow(), new EngineEstimate(100, 0, 1000), 800);
+        loadBalancer.recordFirstAnswer(endpoints.find(id).orElseThrow(), new EngineEstimate(100, 0, 1000), 800);
     }
 
     private RelayEndpoint choose(Prompt prompt) {
@@ -73,9 +74,12 @@
         assertEquals(chosen.size(), 1);
     }
 
-    /** Boxes that each saw only their own requests sent 20 at once to one engine, and the last waited for all before. */
+    /**
+     * Guards against overloading one engine: boxes that each saw only their own requests sent 20 to the same engine at
+     * once, and the last one waited for all the others.
+     */
     @Test
-    public void manyPromptsAtOnceAreSpreadOnceWaitingCostsMoreThanReadingElsewhere() {
+    public void manyPromptsAtOnceAreSpreadOnceWaitingCostsMoreThanPrefillElsewhere() {
         Set<String> chosen = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             chosen.add(choose(prompt("menu", 13_300, 3700)).id());
@@ -84,7 +88,7 @@
     }
 
     @Test
-    public void anEngineThatAnswersLateGetsLess() {
+    public void anEngineThatRespondsLateGetsFewerPrompts() {
         String usual = choose(prompt("menu", 1200, 1000)).id();
         for (int i = 0; i < 20; i++) {
             answeredLate(usual);
@@ -94,7 +98,7 @@
     }
 
     @Test
-    public void amongEnginesWithLittleToReadTheNearOneIsChosen() {
+    public void amongEnginesWithLittlePrefillTheNearestIsChosen() {
         for (int i = 0; i < 5; i++) {
             Prompt alone = Prompt.of(List.of(new PromptPart("own" + i, 100)));
             RelayEndpoint chosen = choose(endpoints.ofService("llm"), alone, new InputLocation("west", 1_000_000))
@@ -105,7 +109,7 @@
     }
 
     @Test
-    public void theExpectedTimeCoversThePromptsThatWait() {
+    public void theEstimateIncludesWaitingPrompts() {
         List<RelayEndpoint> one = endpoints.ofService("llm").subList(0, 1);
         long first = choose(one, prompt("menu", 6120, 6120), InputLocation.NONE)
                 .estimate()
@@ -117,10 +121,10 @@
     }
 
     @Test
-    public void whatIsKnownOfEnginesThatAreGoneIsDropped() {
+    public void dataOfUnlistedEnginesIsRemoved() {
         String usual = choose(prompt("menu", 1200, 1000)).id();
         answeredLate(usual);
-        ledger.retain(Set.of());
+        loadBalancer.retain(Set.of());
         assertEquals(choose(prompt("menu", 1200, 1000)).id(), usual);
     }
 
@@ -128,13 +132,16 @@
 
     private EngineLoadBalancer.Choice chooseFetching(Prompt prompt, String inputDomain) {
         InputLocation inputs = new InputLocation(inputDomain, 4_000_000);
-        return ledger.choose(new EngineLoadBalancer.SelectionContext(
+        return loadBalancer.choose(new EngineLoadBalancer.SelectionContext(
                 endpoints.ofService("llm"), prompt, inputs, 1000, Optional.of(FETCHING)));
     }
 
-    /** Before, the one engine that keeps the shared part was chosen, and 4 MB of inputs went to its failure domain. */
+    /**
+     * Guards against selecting the one engine that has cached the shared part, which moved 4 MB of inputs to its
+     * failure domain.
+     */
     @Test
-    public void theEngineNearTheInputsFetchesWhatAnotherHasRead() {
+    public void theEngineNearTheInputsFetchesWhatAnotherHasPrefilled() {
         EngineLoadBalancer.Choice first = chooseFetching(prompt("menu", 6300, 500), "east");
         nowMs += 2000;
         EngineLoadBalancer.Choice second = chooseFetching(prompt("menu", 6300, 500), "west");
@@ -144,25 +151,25 @@
     }
 
     @Test
-    public void whatIsNotYetReadIsNotFetched() {
+    public void partsNotYetPrefilledAreNotFetched() {
         chooseFetching(prompt("menu", 6300, 500), "east");
         assertNull(chooseFetching(prompt("menu", 6300, 500), "west").fetchFrom());
     }
 
     @Test
-    public void anEngineThatStartedAgainKeepsNothing() {
+    public void aRestartedEngineHasAnEmptyCache() {
         String chosen =
                 chooseFetching(prompt("menu", 6300, 500), "west").endpoint().id();
         nowMs += 2000;
         endpoints.applyList(Stream.of("a", "b", "c", "d")
                 .map(id -> engine(id, id.equals(chosen) ? 2 : 1))
                 .toList());
-        ledger.retain(Set.of("a", "b", "c", "d"));
+        loadBalancer.retain(Set.of("a", "b", "c", "d"));
         assertNull(chooseFetching(prompt("menu", 6300, 500), "west").fetchFrom());
     }
 
     @Test
-    public void partsUnusedLongestGiveWayInAnEnginesMemory() {
+    public void leastRecentlyUsedPartsAreEvicted() {
         PrefixCacheModel memory = new PrefixCacheModel(10_000);
         Prompt first = prompt("menu", 6300, 100);
         memory.add(first, 0);
--- a/relay/src/test/java/org/wingstall/relay/engine/EngineSelectorTest.java
+++ b/relay/src/test/java/org/wingstall/relay/engine/EngineSelectorTest.java
@@ -33,7 +33,7 @@
 import org.wingstall.schema.peer.EngineOutcome;
 import org.wingstall.schema.platform.Member;
 
-/** A box asks the one that chooses for all, and goes by what it knows itself without an answer. */
+/** A box asks the coordinator to select an engine, and selects one itself when it gets no response. */
 public class EngineSelectorTest implements EngineLinks {
     private static final Prompt PROMPT = Prompt.of(List.of(new PromptPart("menu", 1200), new PromptPart("own", 100)));
 
@@ -42,12 +42,12 @@
     private EngineSelector broker;
     private boolean linked;
     private Optional<ColdStartSpec> coldSpec;
-    private final List<Long> notNow = new ArrayList<>();
+    private final List<Long> retryAfterTimes = new ArrayList<>();
     private final Map<Long, EngineAsk> asks = new ConcurrentHashMap<>();
     private final List<EngineChoice> choices = new ArrayList<>();
     private final List<EngineOutcome> outcomes = new ArrayList<>();
-    private final List<String> doubted = new ArrayList<>();
-    private final List<EngineAssignment> tickets = new CopyOnWriteArrayList<>();
+    private final List<String> suspects = new ArrayList<>();
+    private final List<EngineAssignment> assignments = new CopyOnWriteArrayList<>();
 
     @BeforeMethod
     public void create() {
@@ -56,11 +56,11 @@
         asks.clear();
         choices.clear();
         outcomes.clear();
-        doubted.clear();
-        tickets.clear();
+        suspects.clear();
+        assignments.clear();
         endpoints = new RelayEndpoints(System::nanoTime);
         endpoints.applyList(Stream.of("a", "b").map(EngineSelectorTest::engine).toList());
-        notNow.clear();
+        retryAfterTimes.clear();
         coldSpec = Optional.empty();
         Fleet.Provider fleet = new FixedFleet(new Fleet("hub", List.of("hub"), List.of("hub"), true, 1), true, true);
         SendLimits limits = SendLimits.builder(System::nanoTime, fleet)
@@ -75,7 +75,7 @@
                 endpoints,
                 service -> Optional.empty(),
                 limits,
-                engine -> doubted.add(engine.id()),
+                engine -> suspects.add(engine.id()),
                 engine -> false,
                 new RelayMetrics());
     }
@@ -112,28 +112,28 @@
                         new EngineSelector.SelectionListener() {
                             @Override
                             public void chosen(EngineAssignment ticket) {
-                                tickets.add(ticket);
+                                assignments.add(ticket);
                             }
 
                             @Override
-                            public void noneAvailable(long againMs) {
-                                notNow.add(againMs);
+                            public void noneAvailable(long retryAfterMs) {
+                                retryAfterTimes.add(retryAfterMs);
                             }
                         }))
                 .sync();
     }
 
-    private void hubChooses(String endpoint) throws Exception {
+    private void coordinatorChooses(String endpoint) throws Exception {
         long correlation = asks.keySet().iterator().next();
         loop.submit(() -> broker.chosen("hub", correlation, new EngineChoice(endpoint, 80, 0, 100, null, 0)))
                 .sync();
     }
 
     @Test
-    public void theChoiceOfTheHubIsTakenAndItsOutcomeTold() throws Exception {
+    public void theCoordinatorsChoiceIsUsedAndItsOutcomeReported() throws Exception {
         choose();
-        hubChooses("b");
-        EngineAssignment ticket = tickets.get(0);
+        coordinatorChooses("b");
+        EngineAssignment ticket = assignments.get(0);
         assertEquals(ticket.endpoint().id(), "b");
         assertEquals(ticket.coordinator(), "hub");
         ticket.answered();
@@ -144,36 +144,36 @@
     }
 
     @DataProvider
-    Object[][] answersWithoutUse() {
+    Object[][] unusableAnswers() {
         return new Object[][] {{"an engine that this box does not know"}, {""}};
     }
 
-    @Test(dataProvider = "answersWithoutUse")
-    public void anAnswerWithoutUseIsReplacedByItsOwnChoice(String endpoint) throws Exception {
+    @Test(dataProvider = "unusableAnswers")
+    public void anUnusableAnswerIsReplacedByALocalChoice(String endpoint) throws Exception {
         choose();
-        hubChooses(endpoint);
-        assertEquals(tickets.size(), 1);
-        assertEquals(tickets.get(0).coordinator(), null);
+        coordinatorChooses(endpoint);
+        assertEquals(assignments.size(), 1);
+        assertEquals(assignments.get(0).coordinator(), null);
     }
 
     @Test
-    public void withoutAnAnswerThisBoxChoosesOnce() throws Exception {
+    public void withoutAnAnswerTheBoxChoosesLocallyOnce() throws Exception {
         choose();
-        Awaitility.await().until(() -> !tickets.isEmpty());
-        hubChooses("a");
-        assertEquals(tickets.size(), 1);
-        assertEquals(tickets.get(0).coordinator(), null);
+        Awaitility.await().until(() -> !assignments.isEmpty());
+        coordinatorChooses("a");
+        assertEquals(assignments.size(), 1);
+        assertEquals(assignments.get(0).coordinator(), null);
     }
 
     @Test
-    public void withoutALinkThisBoxChoosesAtOnce() throws Exception {
+    public void withoutALinkTheBoxChoosesLocallyAtOnce() throws Exception {
         linked = false;
         choose();
-        assertEquals(tickets.size(), 1);
+        assertEquals(assignments.size(), 1);
     }
 
     @Test
-    public void aBoxThatIsAskedKeepsToWhatTheOtherWants() {
+    public void theCoordinatorRespectsExcludedEngines() {
         broker.asked(
                 "other", 3, new EngineAsk("llm", "menu", PROMPT.digests(), PROMPT.tokens(), "", List.of("a"), 0, 1000));
         broker.asked(
@@ -184,16 +184,19 @@
         assertEquals(choices.get(1).getEndpoint(), "");
     }
 
-    /** Before, the hub gave a silent engine more requests until a second box had lost one there. */
+    /**
+     * Without the query the coordinator assigns more requests to an unresponsive engine until a second box has lost one
+     * there.
+     */
     @Test
-    public void theHubAsksAnEngineThatOneBoxCouldNotReach() {
+    public void theCoordinatorQueriesAnEngineThatOneBoxCouldNotReach() {
         broker.ended("one", new EngineOutcome("a", 80, -1, 0, 100));
-        assertEquals(doubted, List.of("a"));
+        assertEquals(suspects, List.of("a"));
         broker.ended("two", new EngineOutcome("b", 80, 60, 0, 100));
-        assertEquals(doubted, List.of("a"));
+        assertEquals(suspects, List.of("a"));
     }
 
-    /** One box whose own links are broken must not keep all others from every engine. */
+    /** One box with broken links must not keep all others from using every engine. */
     @Test
     public void anEngineIsAvoidedOnceTwoBoxesCouldNotReachIt() {
         RelayEndpoint engine = endpoints.find("a").orElseThrow();
@@ -204,14 +207,14 @@
         assertFalse(engine.usable());
     }
 
-    /** The entries of new engines are read after the first list, so they have just started. */
+    /** Engines that are listed after the first list have just started. */
     private void startColdEngines() {
         coldSpec = Optional.of(new ColdStartSpec(60_000, 4));
         endpoints.applyList(Stream.of("c", "d").map(EngineSelectorTest::engine).toList());
     }
 
     @Test
-    public void theHubGivesColdEnginesWhatTheyBearAndSaysWhenTheyBearMore() {
+    public void theCoordinatorLimitsColdEnginesAndTellsWhenToRetry() {
         startColdEngines();
         EngineAsk ask = new EngineAsk("llm", "menu", PROMPT.digests(), PROMPT.tokens(), "", List.of(), 0, 1000);
         for (int i = 0; i < 5; i++) {
@@ -223,12 +226,12 @@
     }
 
     @Test
-    public void aBoxIsToldThatEnginesAreColdAndDoesNotChooseItself() throws Exception {
+    public void aBoxToldThatEnginesAreColdDoesNotChooseLocally() throws Exception {
         choose();
         long correlation = asks.keySet().iterator().next();
         loop.submit(() -> broker.chosen("hub", correlation, new EngineChoice("", 0, 0, 0, null, 400)))
                 .sync();
-        assertEquals(notNow, List.of(400L));
-        assertTrue(tickets.isEmpty());
+        assertEquals(retryAfterTimes, List.of(400L));
+        assertTrue(assignments.isEmpty());
     }
 }
