--- a/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
+++ b/core/src/main/java/org/wingstall/core/quarantine/Quarantine.java
@@ -24,7 +24,8 @@
  * third loss can be attributed to it. After three losses the request is refused, for a time that doubles with each
  * further loss; then it is sent as a trial again.
  *
- * <p>{@code quarantine.refusal(run::fingerprint).ifPresent(this::refuse); quarantine.endpointLost(fingerprint, "i-7f3a@0");}
+ * <p>{@code quarantine.refusal(run::fingerprint).ifPresent(this::refuse);
+ * quarantine.endpointLost(fingerprint, "i-7f3a@0");}
  *
  * @since 0.7
  */
@@ -114,13 +115,13 @@
 
     private synchronized Optional<QuarantineRefusal> refusal(Fingerprint request) {
         long nowMs = clock.nowMs();
-        CrashRecord crashRecord = crashRecords.find(request, nowMs);
-        long remainingMs = remainingQuarantineMs(crashRecord, nowMs);
+        CrashRecord record = crashRecords.find(request, nowMs);
+        long remainingMs = remainingQuarantineMs(record, nowMs);
         if (remainingMs > 0) {
-            String detail = crashRecord.activeLossCount() + " endpoints ended while they ran this request";
+            String detail = record.activeLossCount() + " endpoints ended while they ran this request";
             return Optional.of(new QuarantineRefusal(Reason.QUARANTINED, detail, remainingMs));
         }
-        if (needsTrial(crashRecord) && trials.containsKey(request)) {
+        if (needsTrial(record) && trials.containsKey(request)) {
             if (trials.get(request).untilMs() > nowMs) {
                 String detail = "endpoints ended while they ran this request, and one tries it now";
                 return Optional.of(new QuarantineRefusal(Reason.SUSPECT_ON_TRIAL, detail, TRIAL_RETRY_AFTER_MS));
