--- a/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
+++ b/relay/src/main/java/org/wingstall/relay/config/PoolSpec.java
@@ -10,7 +10,7 @@
  * @param maxBatchSize most pieces in a call
  * @param baseMs time of a call without its pieces, in ms
  * @param pieceMs time of one piece, in ms; varies by stage
- * @param roomBytes capacity for results that are not freed yet
+ * @param resultCapacityBytes capacity for results that are not freed yet
  * @param resultTtlMs time after which a result expires, in ms
  * @since 0.2
  */
--- a/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
@@ -12,7 +12,7 @@
 
 /**
  * Registers this box in the directory and polls it for others: often after the start, seldom later, since peer links
- * are quicker than the directory. Runs on the control loop.
+ * tell more than the directory. Runs on the control loop.
  *
  * <p>{@code new BoxFollower(loop, directory, self, mesh::applyList).start();}
  *
@@ -26,7 +26,7 @@
 
     private static final int INITIAL_READS = 3;
 
-    /** Interval between later reads, in ms; long, because a new box connects to the others itself. */
+    /** Interval between later reads, in ms; a new box connects to the others itself. */
     private static final long INTERVAL_MS = 20_000;
 
     private final EventLoop loop;
--- a/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/ListFollower.java
@@ -34,7 +34,7 @@
     /** Maximum time between reads of this box, in ms, even if peers announce no change. */
     private static final long MAX_READ_AGE_MS = 30_000;
 
-    /** Time after an outage in which every box reads, in ms; expired entries take about 2 s to be registered again. */
+    /** Time after an outage in which every box reads, in ms; expired entries have about 2 s to be registered again. */
     private static final long RECOVERY_MS = 4000;
 
     private final EventLoop loop;
--- a/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedRateLimit.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedRateLimit.java
@@ -94,6 +94,6 @@
     }
 
     private static boolean hearsProbingBox(String purpose, Fleet now) {
-        return RendezvousHash.top(purpose, now.boxes(), PROBING_BOXES).stream().anyMatch(now.heard()::contains);
+        return RendezvousHash.top(purpose, now.boxes(), PROBING_BOXES).stream().anyMatch(now.reachable()::contains);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/endpoint/CoordinationHistory.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/CoordinationHistory.java
@@ -56,7 +56,7 @@
     }
 
     static double reachableFraction(Fleet now) {
-        return Math.min(1, now.heard().size() / (double) now.boxes().size());
+        return Math.min(1, now.reachable().size() / (double) now.boxes().size());
     }
 
     /**
--- a/relay/src/main/java/org/wingstall/relay/endpoint/Fleet.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/Fleet.java
@@ -9,14 +9,14 @@
  *
  * @param self this box
  * @param boxes all known boxes, including this one
- * @param heard the reachable ones among them, whose heartbeats arrived recently, including this one
+ * @param reachable those among them that are reachable, whose heartbeats arrived recently, including this one
  * @param reachesDomainMajority whether this box reaches most boxes of its failure domain, so that no other box is
  * coordinator there
  * @param failureDomains number of failure domains that have boxes
  * @since 0.9
  */
 public record Fleet(
-        String self, List<String> boxes, List<String> heard, boolean reachesDomainMajority, int failureDomains) {
+        String self, List<String> boxes, List<String> reachable, boolean reachesDomainMajority, int failureDomains) {
     /** Provides the current view of the fleet. */
     public interface Provider {
         /** Returns the fleet as this box knows it now. */
--- a/relay/src/main/java/org/wingstall/relay/pool/PieceQuarantine.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/PieceQuarantine.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the refusal of the first quarantined piece; empty when all pieces may be sent. */
-    Optional<QuarantineRefusal> hold(List<PieceTask> tasks) {
+    Optional<QuarantineRefusal> refusal(List<PieceTask> tasks) {
         return tasks.stream()
                 .filter(task -> task.piece().identifiable())
                 .map(task -> quarantine.refusal(() -> task.piece().fingerprint(service)))
--- a/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
@@ -90,7 +90,7 @@
 
     /** Fails all pieces if one is quarantined: without its result the request can't be answered. */
     private boolean failIfQuarantined(List<PieceTask> tasks) {
-        Optional<QuarantineRefusal> refusal = pieceQuarantine.hold(tasks);
+        Optional<QuarantineRefusal> refusal = pieceQuarantine.refusal(tasks);
         refusal.ifPresent(quarantined -> tasks.stream()
                 .filter(task -> !task.withdrawn())
                 .forEach(task -> task.complete(
--- a/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointAttempt.java
@@ -120,11 +120,11 @@
         if (head.notExecuted()) {
             return;
         }
-        boolean mine = request.id().equals(head.requestId());
+        boolean forCaller = request.id().equals(head.requestId());
         boolean whole = !head.success() || head.signed();
-        if (!mine || !whole) {
+        if (!forCaller || !whole) {
             context.metrics().recordDroppedResponse();
-            abandon(mine ? "a success without signature" : "an answer to another request");
+            abandon(forCaller ? "a success without signature" : "an answer to another request");
             return;
         }
         owner.firstByte();
@@ -219,7 +219,7 @@
         }
         endpoint.recordTransportFailure(failure);
         if (failure.requestWritten()) {
-            quarantine.lost(loss(failure));
+            quarantine.endpointLost(loss(failure));
             owner.lost(this, failure.getMessage());
         } else {
             owner.notSent(this, failure.getMessage());
--- a/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
+++ b/relay/src/main/java/org/wingstall/relay/run/EndpointSearch.java
@@ -49,8 +49,8 @@
      * @param untilTargetMs time left until the route's latency target, in ms
      * @param listener receives the result
      */
-    void start(Set<String> shunned, InputLocation inputs, long untilTargetMs, Listener listener) {
-        List<RelayEndpoint> candidates = service.candidates(shunned);
+    void start(Set<String> endpointsToAvoid, InputLocation inputs, long untilTargetMs, Listener listener) {
+        List<RelayEndpoint> candidates = service.candidates(endpointsToAvoid);
         if (candidates.isEmpty()) {
             listener.noEndpoint();
         } else if (service.enginesPrefillPrompt()) {
--- a/relay/src/main/java/org/wingstall/relay/run/OverdueResponseCheck.java
+++ b/relay/src/main/java/org/wingstall/relay/run/OverdueResponseCheck.java
@@ -17,24 +17,24 @@
     /**
      * Schedules the check for one attempt.
      *
-     * @param parts shared dependencies
+     * @param context shared dependencies
      * @param chosen the engine of the attempt
      * @param typicalMs typical time to the first response, in ms
      * @param awaitsResponse whether the request still waits for its first response
      * @param onUnresponsive run if the engine does not answer the state query either
      */
     static void schedule(
-            RelayContext parts,
+            RelayContext context,
             EngineAssignment chosen,
             long typicalMs,
             BooleanSupplier awaitsResponse,
             Runnable onUnresponsive) {
         Runnable look = () -> {
             if (awaitsResponse.getAsBoolean() && !chosen.ended()) {
-                parts.engineStateQuery().accept(chosen.endpoint(), onUnresponsive);
+                context.engineStateQuery().accept(chosen.endpoint(), onUnresponsive);
             }
         };
         long dueMs = Math.round(OVERDUE_FACTOR * typicalMs) + OVERDUE_EXTRA_MS;
-        parts.loop().schedule(look, dueMs, TimeUnit.MILLISECONDS);
+        context.loop().schedule(look, dueMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/relay/src/main/java/org/wingstall/relay/run/RelayRun.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RelayRun.java
@@ -161,27 +161,28 @@
         if (finished || refuseIfQuarantined()) {
             return;
         }
-        search.start(quarantine.toAvoid(), stages.outputPlace(), untilTargetMs(), new EndpointSearch.Listener() {
-            @Override
-            public void found(EngineAssignment engine) {
-                send(engine, inputs);
-            }
-
-            @Override
-            public void found(RelayEndpoint endpoint) {
-                send(endpoint, null, inputs);
-            }
-
-            @Override
-            public void atCapacity(long againMs) {
-                waitForCapacity(againMs, inputs);
-            }
-
-            @Override
-            public void noEndpoint() {
-                refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.NO_ENDPOINT, service.noEndpointDetail());
-            }
-        });
+        search.start(
+                quarantine.endpointsToAvoid(), stages.outputPlace(), untilTargetMs(), new EndpointSearch.Listener() {
+                    @Override
+                    public void found(EngineAssignment engine) {
+                        send(engine, inputs);
+                    }
+
+                    @Override
+                    public void found(RelayEndpoint endpoint) {
+                        send(endpoint, null, inputs);
+                    }
+
+                    @Override
+                    public void atCapacity(long againMs) {
+                        waitForCapacity(againMs, inputs);
+                    }
+
+                    @Override
+                    public void noEndpoint() {
+                        refuse(mayHaveRun() ? Reason.ENDPOINT_LOST : Reason.NO_ENDPOINT, service.noEndpointDetail());
+                    }
+                });
     }
 
     /** Waits for capacity if the response can still meet its target; otherwise refuses with a retry-after time. */
--- a/relay/src/main/java/org/wingstall/relay/run/RunQuarantine.java
+++ b/relay/src/main/java/org/wingstall/relay/run/RunQuarantine.java
@@ -15,9 +15,9 @@
     private final RequestLog log;
     private final RequestLogEntry record;
 
-    RunQuarantine(RelayContext parts, RequestLogEntry record) {
-        this.request = new RequestQuarantine(parts.quarantine(), record::fingerprint);
-        this.log = parts.log();
+    RunQuarantine(RelayContext context, RequestLogEntry record) {
+        this.request = new RequestQuarantine(context.quarantine(), record::fingerprint);
+        this.log = context.log();
         this.record = record;
     }
 
@@ -25,7 +25,7 @@
         return request.refusal();
     }
 
-    Set<String> toAvoid() {
+    Set<String> endpointsToAvoid() {
         return request.endpointsToAvoid();
     }
 
@@ -33,8 +33,8 @@
         request.sent(endpoint.key());
     }
 
-    /** Only a reset counts as evidence of a crash: an endpoint that stops answering may just be unreachable. */
-    void lost(EndpointLoss loss) {
+    /** An endpoint that ends closes its connections; an unresponsive one may be cut off, which is no evidence of a crash. */
+    void endpointLost(EndpointLoss loss) {
         log.logEndpointLoss(record, loss);
         if (loss.failure().kind() == TransportException.Kind.RESET) {
             request.endpointLost(loss.endpoint().key());
--- a/relay/src/main/java/org/wingstall/relay/run/TargetService.java
+++ b/relay/src/main/java/org/wingstall/relay/run/TargetService.java
@@ -67,12 +67,12 @@
     /**
      * Returns the candidates.
      *
-     * @param shunned incarnations to leave out, as long as at least half of the candidates remain
+     * @param endpointsToAvoid incarnations to leave out, as long as at least half of the candidates remain
      */
-    List<RelayEndpoint> candidates(Set<String> shunned) {
+    List<RelayEndpoint> candidates(Set<String> endpointsToAvoid) {
         List<RelayEndpoint> all = untried();
         List<RelayEndpoint> others = all.stream()
-                .filter(endpoint -> !shunned.contains(endpoint.key()))
+                .filter(endpoint -> !endpointsToAvoid.contains(endpoint.key()))
                 .toList();
         return 2 * others.size() >= all.size() && !others.isEmpty() ? others : all;
     }
@@ -126,8 +126,8 @@
      * Returns the urgency of the stages: their target leaves time for the response, their deadline ends a wait that is
      * far too long.
      */
-    Urgency urgency(Workspace workspace, long arrivedMs, long dueAtMs) {
-        long stagesDueAtMs = Math.min(dueAtMs, arrivedMs + Math.round(MAX_STAGE_WAIT_FACTOR * route.targetMs()));
+    Urgency urgency(Workspace workspace, long arrivedMs, long deadlineAtMs) {
+        long stagesDueAtMs = Math.min(deadlineAtMs, arrivedMs + Math.round(MAX_STAGE_WAIT_FACTOR * route.targetMs()));
         return new Urgency(
                 workspace.rank() * ROUTE_RANKS + route.rank(),
                 arrivedMs + route.targetMs() - afterStagesMs(),
