--- a/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
+++ b/relay/src/main/java/org/wingstall/relay/control/BoxFollower.java
@@ -12,7 +12,7 @@
 
 /**
  * Registers this box in the directory and polls it for others: often after the start, seldom later, since peer links
- * tell more than the directory. Runs on the control loop.
+ * carry more than the directory does. Runs on the control loop.
  *
  * <p>{@code new BoxFollower(loop, directory, self, mesh::applyList).start();}
  *
--- a/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedLimitReader.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/AdvertisedLimitReader.java
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A response without a limit counts only when the endpoint executed the request. */
+    /** A response without a limit counts only when the endpoint executed the request, which shows that it can take it. */
     private void recordNoLimit(RelayEndpoint endpoint, ResponseHead head, long sentMs) {
         if (!head.notExecuted()) {
             limits.notAdvertised(endpoint.key(), sentMs);
--- a/relay/src/main/java/org/wingstall/relay/endpoint/RecentSends.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/RecentSends.java
@@ -14,7 +14,7 @@
 
     private final Deque<Long> sentAtMs = new ArrayDeque<>();
 
-    void record(long nowMs) {
+    void recordSend(long nowMs) {
         sentAtMs.addLast(nowMs);
         while (nowMs - sentAtMs.peekFirst() > MAX_WINDOW_MS || sentAtMs.size() > MAX_TRACKED) {
             sentAtMs.removeFirst();
--- a/relay/src/main/java/org/wingstall/relay/endpoint/SendLimits.java
+++ b/relay/src/main/java/org/wingstall/relay/endpoint/SendLimits.java
@@ -191,7 +191,7 @@
     /** Records that a request is sent to an endpoint now, by this box or by one that it selects for. */
     public void recordSend(RelayEndpoint endpoint) {
         long nowMs = clock.nowMs();
-        sends.computeIfAbsent(endpoint.key(), key -> new RecentSends()).record(nowMs);
+        sends.computeIfAbsent(endpoint.key(), key -> new RecentSends()).recordSend(nowMs);
         if (sends.size() > MAX_TRACKED) {
             sends.values().removeIf(recent -> recent.expired(nowMs));
         }
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineSelector.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSelector.java
@@ -155,7 +155,7 @@
      */
     private void recordFirstAnswer(EngineAssignment ticket, long firstAnswerMs) {
         if (firstAnswerMs >= 0 && !limits.limited(ticket.endpoint())) {
-            firstAnswersOf(ticket.endpoint().identity().service()).record(ticket.ownTokens(), firstAnswerMs);
+            firstAnswersOf(ticket.endpoint().identity().service()).recordFirstAnswer(ticket.ownTokens(), firstAnswerMs);
         }
     }
 
--- a/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/EngineSpeed.java
@@ -12,10 +12,7 @@
      */
     private static final double INITIAL_FIRST_DECODE_MS = 60;
 
-    /**
-     * Initial value for the prefill rate, in tokens per ms, used until responses have been measured; current engines
-     * reach 38 to 61.
-     */
+    /** Initial value for the prefill rate, in tokens per ms, used until responses have been measured. */
     private static final double INITIAL_TOKENS_PER_MS = 50;
 
     /** Typical length of a prompt, in tokens. */
--- a/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
+++ b/relay/src/main/java/org/wingstall/relay/engine/FirstAnswerTimes.java
@@ -27,7 +27,7 @@
     private double meanDeviationMs;
 
     /** Records the time that a first response took. */
-    void record(int ownTokens, long tookMs) {
+    void recordFirstAnswer(int ownTokens, long tookMs) {
         double expectedMs = trend.predict(ownTokens);
         double deviationMs = Math.min(MAX_DEVIATION * expectedMs, Math.abs(tookMs - expectedMs));
         meanDeviationMs += SAMPLE_WEIGHT * (deviationMs - meanDeviationMs);
--- a/relay/src/main/java/org/wingstall/relay/pool/CallTimeEstimator.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/CallTimeEstimator.java
@@ -12,7 +12,7 @@
     private OnlineLinearRegression trend;
 
     /** Records the measured duration of a call. */
-    void record(PoolSpec spec, int pieces, long tookMs) {
+    void recordCall(PoolSpec spec, int pieces, long tookMs) {
         trend(spec).observe(pieces, tookMs);
     }
 
--- a/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
+++ b/relay/src/main/java/org/wingstall/relay/pool/StagePool.java
@@ -129,7 +129,7 @@
     /** Records the duration of an answered call. */
     void recordCallTime(PoolSpec spec, int pieces, long tookMs) {
         timeouts.recordAnswer(spec, pieces, tookMs);
-        callTimes.record(spec, pieces, tookMs);
+        callTimes.recordCall(spec, pieces, tookMs);
     }
 
     /** Returns the expected duration of a call, in ms. */
--- a/relay/src/test/java/org/wingstall/relay/pool/PoolSimulation.java
+++ b/relay/src/test/java/org/wingstall/relay/pool/PoolSimulation.java
@@ -322,7 +322,7 @@
         busyUntilMs.put(maker, endsAtMs);
         schedule(endsAtMs, () -> {
             if (!lost) {
-                times.record(setup.spec(), carried, tookMs);
+                times.recordCall(setup.spec(), carried, tookMs);
             }
             planned.parts().forEach(part -> ended(maker, part, tookMs / (double) carried, lost));
             dispatch();
